--- a/packages/gateway/__tests__/access.spec.ts
+++ b/packages/gateway/__tests__/access.spec.ts
@@ -7,8 +7,8 @@
 } from '@wasabiusher/shared';
 import {Gateway, type CatalogFormat} from '../src/index.js';
 
-/** A configuration as these tests write it into the store. */
-type Written = {version: number; keys?: Record<string, string[]>; prefixes?: string[]; priority?: number};
+/** The configuration row that these tests write to the store. */
+type ConfigurationRow = {version: number; keys?: Record<string, string[]>; prefixes?: string[]; priority?: number};
 
 function createRoute(prefix: string): Route {
 	return {
@@ -17,7 +17,7 @@
 	};
 }
 
-function toDeployment({version, keys, prefixes = ['/a/', '/open/'], priority}: Written): Deployment {
+function toDeployment({version, keys, prefixes = ['/a/', '/open/'], priority}: ConfigurationRow): Deployment {
 	return {
 		version,
 		routes: prefixes.map(prefix => createRoute(prefix)),
@@ -25,27 +25,27 @@
 		limits: {
 			headerBytes: 1, bodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1,
 		},
-		customers: keys && new Map(Object.entries(keys).map(([name, own]) => [name, {name, keys: own, priority}])),
+		customers: keys && new Map(Object.entries(keys).map(([name, ownKeys]) => [name, {name, keys: ownKeys, priority}])),
 	};
 }
 
 const format: CatalogFormat = {
 	operatorTable: 'op',
 	endpointTable: 'servers',
-	decodeOperatorRow: (_, value) => ({kind: 'deployment', deployment: toDeployment(JSON.parse(Buffer.from(value).toString()) as Written)}),
+	decodeOperatorRow: (_, value) => ({kind: 'deployment', deployment: toDeployment(JSON.parse(Buffer.from(value).toString()) as ConfigurationRow)}),
 	decodeEndpoint: (_, value) => JSON.parse(Buffer.from(value).toString()) as RegisteredEndpoint,
 };
 
-describe('Access of a gateway', () => {
+describe('Gateway access', () => {
 	let clock: Clock;
 	let root: MemoryRowStore;
 	let store: MemoryRowStore;
 	let gateway: Gateway;
 
-	async function write(written: Written): Promise<void> {
+	async function write(row: ConfigurationRow): Promise<void> {
 		await root.commit({
 			conditions: [], deletes: [], puts: [{
-				table: 'op', part: '', key: 'config', value: Buffer.from(JSON.stringify(written)),
+				table: 'op', part: '', key: 'config', value: Buffer.from(JSON.stringify(row)),
 			}],
 		});
 	}
@@ -73,14 +73,14 @@
 		clock.uninstall();
 	});
 
-	it('grants a request to the customer whose key it has, without asking the store', async () => {
+	it('grants a request to the owner of its key without polling the store', async () => {
 		const {follows} = store.counts;
 		const access = await gateway.findAccess({host: 'h', path: '/a/x', key: 'k2'});
 		expect(access.kind === 'granted' && access.customer?.name).to.equal('b');
 		expect(store.counts.follows).to.equal(follows);
 	});
 
-	it('refuses a request without a known key, and grants it where no key is needed', async () => {
+	it('refuses a request without a known key, and grants it if the route or the configuration needs no key', async () => {
 		expect(await findAccess(undefined)).to.include({kind: 'unauthorized', reason: 'a key is needed'});
 		expect(await findAccess('k3')).to.include({kind: 'unauthorized', reason: 'the key is not known'});
 		expect(await findAccess(undefined, '/open/x')).to.include({kind: 'granted'});
@@ -90,14 +90,14 @@
 		expect(await findAccess(undefined)).to.include({kind: 'granted'});
 	});
 
-	it('puts a customer\'s priority before that of the route', async () => {
+	it('applies the customer\'s priority instead of that of the route', async () => {
 		await write({version: 2, keys: {a: ['k1']}, priority: 1});
 		await clock.tickAsync(100);
 		const access = await findAccess('k1');
 		expect(access.kind === 'granted' && access.route.priority).to.equal(1);
 	});
 
-	it('grants a key and a route that were added while it did not hear the store', async () => {
+	it('grants a request by a key and a route that were added during an outage of the store', async () => {
 		store.switches.isDown = true;
 		await clock.tickAsync(800);
 		await write({version: 2, keys: {a: ['k1', 'k9']}, prefixes: ['/a/', '/new/']});
@@ -106,14 +106,14 @@
 		expect(access.kind).to.equal('granted');
 	});
 
-	it('refuses nobody for good while it can not ask the store', async () => {
+	it('answers unsure instead of a refusal while the store does not serve the host', async () => {
 		store.switches.isDown = true;
 		expect(await findAccess('k9')).to.deep.equal({kind: 'unsure'});
 		expect(await findAccess('k1', '/new/x')).to.deep.equal({kind: 'unsure'});
 		expect(await findAccess('k1')).to.include({kind: 'granted'});
 	});
 
-	it('does not hold a request for a store that is silent', async () => {
+	it('answers unsure within 450 ms if the store is unresponsive', async () => {
 		store.switches.silentMs = 5000;
 		let access: unknown;
 		void gateway.findAccess({host: 'h', path: '/a/x', key: 'k9'}).then(found => {
@@ -123,7 +123,7 @@
 		expect(access).to.deep.equal({kind: 'unsure'});
 	});
 
-	it('refuses a key that was taken away, also if the news of an older configuration comes late', async () => {
+	it('refuses a removed key, also after an older configuration arrives late', async () => {
 		await write({version: 3, keys: {a: ['k1']}});
 		await clock.tickAsync(100);
 		await write({version: 2, keys: {a: ['k1'], b: ['k2']}});
@@ -131,7 +131,7 @@
 		expect(await findAccess('k2')).to.include({kind: 'unauthorized'});
 	});
 
-	it('asks the store at most some ten times a second, however many keys are unknown', async () => {
+	it('polls the store at most about ten times a second, however many keys are unknown', async () => {
 		const {follows} = store.counts;
 		const pending = [];
 		for (let i = 0; i < 200; i += 1) {
@@ -143,7 +143,7 @@
 		await clock.tickAsync(500);
 		const kinds = await Promise.all(pending);
 		expect(new Set(kinds.map(({kind}) => kind))).to.deep.equal(new Set(['unauthorized']));
-		// In one and a half seconds, beside two or three regular waits of each of four tables.
+		// Over 1.5 s, in addition to two or three regular polls of each of four tables.
 		expect(store.counts.follows - follows).to.be.at.most(15 + (4 * 3));
 	});
 });
--- a/packages/gateway/__tests__/catalog.spec.ts
+++ b/packages/gateway/__tests__/catalog.spec.ts
@@ -40,14 +40,14 @@
 }
 
 describe('Catalog', () => {
-	it('names no endpoint by a row that can not be read, and holds the others', () => {
+	it('ignores a malformed registration and keeps the other endpoints', () => {
 		const {directory, apply} = createCatalog();
 		apply('i-1', createRow('i-1'), 1);
 		apply('i-2', '{"servi', 2);
 		expect(directory.list('s').map(({id}) => id)).to.deep.equal(['i-1']);
 	});
 
-	it('names no endpoint by an address of this host, which would call itself', () => {
+	it('rejects a registration with an address of this host, which would send requests to itself', () => {
 		const {directory, lines, apply} = createCatalog();
 		apply('i-1', createRow('i-1', '10.0.0.9:80'), 1);
 		apply('i-2', createRow('i-2'), 2);
@@ -55,7 +55,7 @@
 		expect(lines.some(line => line.includes('endpoint_row_invalid'))).to.equal(true);
 	});
 
-	it('takes an endpoint away whose row has become unreadable, until it can be read again', () => {
+	it('removes an endpoint whose row has become malformed, until the row is valid again', () => {
 		const {directory, apply} = createCatalog();
 		apply('i-1', createRow('i-1'), 1);
 		apply('i-1', 'nothing', 2);
@@ -64,7 +64,7 @@
 		expect(directory.list('s')).to.have.length(1);
 	});
 
-	it('tells once of each version of a row that can not be read', () => {
+	it('logs each version of a malformed row once', () => {
 		const {lines, apply} = createCatalog();
 		for (const version of [2, 2, 2, 5, 5]) {
 			apply('i-1', 'nothing', version);
--- a/packages/gateway/__tests__/host-links.spec.ts
+++ b/packages/gateway/__tests__/host-links.spec.ts
@@ -2,7 +2,7 @@
 import {createSilentLog, Random} from '@wasabiusher/shared';
 import {HostLinks} from '../src/host-links.js';
 
-/** Nobody listens on it. */
+/** An address on which no process listens. */
 const deadAddress = '127.0.0.1:1';
 
 const message = {
@@ -18,10 +18,10 @@
 		links = new HostLinks({
 			host: 'a', random: new Random(1), log: createSilentLog(), findKey: () => key,
 			onUp() {
-				// Nothing waits for it.
+				// The tests need no notification.
 			},
 			onMessage() {
-				// Nothing comes.
+				// The tests receive no messages.
 			},
 		});
 		return links;
@@ -31,7 +31,7 @@
 		links.close();
 	});
 
-	it('counts on a link that is being opened for a connection\'s time, and not on one to a dead host after it', async () => {
+	it('treats a link as usable while it is being opened, and as unusable once it has not come up in time', async () => {
 		const {counts} = create('key');
 		expect(links.isUsable(deadAddress)).to.equal(true);
 		expect(links.send(deadAddress, message)).to.equal(false);
@@ -43,13 +43,13 @@
 		expect(counts).to.deep.equal({opened: 1, sent: 0, unopened: 0});
 	});
 
-	it('opens no link any more once it was closed', () => {
+	it('opens no links after it was closed', () => {
 		create('key');
 		links.close();
 		expect([links.send(deadAddress, message), links.size]).to.deep.equal([false, 0]);
 	});
 
-	it('opens a bounded number of links, and none without the key', () => {
+	it('limits the number of links, and opens none without the key', () => {
 		create('key');
 		for (let i = 0; i < 40; i += 1) {
 			links.send(`127.0.0.1:${i + 1}`, message);
--- a/packages/gateway/__tests__/crashers.spec.ts
+++ b/packages/gateway/__tests__/poison-requests.spec.ts
@@ -7,7 +7,7 @@
 	createSilentLog, Random, type Route,
 } from '@wasabiusher/shared';
 import {MemoryRowStore, MemoryServing} from '@wasabiusher/standins';
-import {crasherPart, Crashers} from '../src/crashers.js';
+import {poisonRequestPart, PoisonRequests} from '../src/poison-requests.js';
 
 const route: Route = {
 	name: 'r', host: 'h', prefix: '/', kind: 'non-idempotent', isResumable: false, timeoutMs: 1000, objectiveMs: 100, priority: 0,
@@ -20,15 +20,15 @@
 	};
 }
 
-describe('Crashers', () => {
+describe('PoisonRequests', () => {
 	let clock: Clock;
 	let store: MemoryRowStore;
-	let seen: number;
+	let appliedVersion: number;
 
 	beforeEach(() => {
 		clock = install();
 		store = new MemoryRowStore();
-		seen = 0;
+		appliedVersion = 0;
 	});
 
 	afterEach(() => {
@@ -43,93 +43,93 @@
 			});
 		}
 
-		const crashers = new Crashers({
+		const poisonRequests = new PoisonRequests({
 			rows: store, table: hostTable, host, directory, log: createSilentLog(), readStoreMs: () => Date.now(),
 		});
-		return {crashers, directory};
+		return {poisonRequests, directory};
 	}
 
-	function crash({crashers}: {crashers: Crashers}, endpoint: string, ...paths: string[]): void {
+	function crash({poisonRequests}: {poisonRequests: PoisonRequests}, endpoint: string, ...paths: string[]): void {
 		for (const path of paths) {
-			crashers.noteBroken(endpoint, createRequest(path));
+			poisonRequests.noteBroken(endpoint, createRequest(path));
 		}
 
-		crashers.noteDown(endpoint);
+		poisonRequests.noteDown(endpoint);
 	}
 
-	/** Gives hosts what the store has. */
-	async function follow(...hosts: Array<{crashers: Crashers}>): Promise<void> {
+	/** Applies new rows of the store to hosts. */
+	async function follow(...hosts: Array<{poisonRequests: PoisonRequests}>): Promise<void> {
 		await clock.tickAsync(10);
-		const {rows, version} = await store.read({table: hostTable, part: crasherPart});
-		for (const row of rows.filter(({version: written}) => written > seen)) {
-			for (const {crashers} of hosts) {
-				crashers.apply(row);
+		const {rows, version} = await store.read({table: hostTable, part: poisonRequestPart});
+		for (const row of rows.filter(({version: rowVersion}) => rowVersion > appliedVersion)) {
+			for (const {poisonRequests} of hosts) {
+				poisonRequests.apply(row);
 			}
 		}
 
-		seen = version;
+		appliedVersion = version;
 	}
 
-	it('refuses on all hosts, also later ones, what has crashed three endpoints through several; not what was there once, nor another\'s', async () => {
+	it('refuses a request that crashed three endpoints through several hosts, on all hosts and on later ones; not a request that was in flight once, nor one of another customer', async () => {
 		const [a, b] = [createHost('a'), createHost('b')];
 		crash(a, 'e1', '/bad', '/good');
 		crash(b, 'e2', '/bad');
 		await follow(a, b);
-		expect(a.crashers.findRefusalMs(createRequest('/bad'))).to.equal(undefined);
+		expect(a.poisonRequests.findRefusalMs(createRequest('/bad'))).to.equal(undefined);
 		crash(b, 'e3', '/bad');
 		await follow(a, b);
-		seen = 0;
+		appliedVersion = 0;
 		const late = createHost('c');
 		await follow(late);
-		for (const {crashers} of [a, b, late]) {
-			expect(crashers.findRefusalMs(createRequest('/bad', {attemptId: 'r2'}))).to.be.within(1, 5000);
-			expect(crashers.findRefusalMs(createRequest('/good'))).to.equal(undefined);
-			expect(crashers.findRefusalMs(createRequest('/bad', {customer: 'd'}))).to.equal(undefined);
-			expect(crashers.findRefusalMs(createRequest('/bad', {body: Buffer.from('x')}))).to.equal(undefined);
+		for (const {poisonRequests} of [a, b, late]) {
+			expect(poisonRequests.findRefusalMs(createRequest('/bad', {attemptId: 'r2'}))).to.be.within(1, 5000);
+			expect(poisonRequests.findRefusalMs(createRequest('/good'))).to.equal(undefined);
+			expect(poisonRequests.findRefusalMs(createRequest('/bad', {customer: 'd'}))).to.equal(undefined);
+			expect(poisonRequests.findRefusalMs(createRequest('/bad', {body: Buffer.from('x')}))).to.equal(undefined);
 		}
 	});
 
-	it('counts no request that broke while its endpoint goes on', async () => {
+	it('ignores requests whose connection broke while the endpoint stays up', async () => {
 		const a = createHost('a');
 		for (const endpoint of ['e1', 'e2', 'e3', 'e4']) {
-			a.crashers.noteBroken(endpoint, createRequest('/grey'));
+			a.poisonRequests.noteBroken(endpoint, createRequest('/grey'));
 		}
 
-		expect(a.crashers.findRefusalMs(createRequest('/grey'))).to.equal(undefined);
+		expect(a.poisonRequests.findRefusalMs(createRequest('/grey'))).to.equal(undefined);
 	});
 
-	it('frees on all hosts what any of them sees answered, and tries again after a minute what none does', async () => {
+	it('clears a request on all hosts once one of them gets an answer, and admits any other again after a minute', async () => {
 		const [a, b] = [createHost('a'), createHost('b')];
 		for (const endpoint of ['e1', 'e2', 'e3']) {
 			crash(a, endpoint, '/bad', '/unlucky');
 		}
 
 		await follow(a, b);
-		b.crashers.noteFinished(createRequest('/unlucky'));
+		b.poisonRequests.noteFinished(createRequest('/unlucky'));
 		await follow(a, b);
-		expect([a, b].map(({crashers}) => crashers.findRefusalMs(createRequest('/unlucky')))).to.deep.equal([undefined, undefined]);
-		expect(b.crashers.findRefusalMs(createRequest('/bad'))).to.be.greaterThan(0);
+		expect([a, b].map(({poisonRequests}) => poisonRequests.findRefusalMs(createRequest('/unlucky')))).to.deep.equal([undefined, undefined]);
+		expect(b.poisonRequests.findRefusalMs(createRequest('/bad'))).to.be.greaterThan(0);
 		await clock.tickAsync(61_000);
-		expect([a, b].map(({crashers}) => crashers.findRefusalMs(createRequest('/bad')))).to.deep.equal([undefined, undefined]);
+		expect([a, b].map(({poisonRequests}) => poisonRequests.findRefusalMs(createRequest('/bad')))).to.deep.equal([undefined, undefined]);
 	});
 
-	it('removes rows that count for nothing any more, and takes nothing from one of no form', async () => {
+	it('removes expired rows and throws on a malformed one', async () => {
 		const a = createHost('a');
 		crash(a, 'e1', '/bad');
 		await follow(a);
 		await clock.tickAsync(61_000);
-		await a.crashers.sweep();
-		const {rows} = await store.read({table: hostTable, part: crasherPart});
+		await a.poisonRequests.sweep();
+		const {rows} = await store.read({table: hostTable, part: poisonRequestPart});
 		expect(rows).to.deep.equal([]);
 		expect(() => {
-			a.crashers.apply({
-				table: hostTable, part: crasherPart, key: 'x/a', version: 9, value: Buffer.from('{}'),
+			a.poisonRequests.apply({
+				table: hostTable, part: poisonRequestPart, key: 'x/a', version: 9, value: Buffer.from('{}'),
 			});
 		}).to.throw();
 	});
 
-	it('sends a request that crashes endpoints to three of them, then answers at once that it has not run', async () => {
-		const {crashers, directory} = createHost('a');
+	it('sends a poison request to three endpoints, then refuses it at once as not run', async () => {
+		const {poisonRequests, directory} = createHost('a');
 		const serving = new MemoryServing();
 		const endpoints = ['e1', 'e2', 'e3', 'e4'].map(id => serving.add(id, id));
 		const outcomes: string[] = [];
@@ -139,7 +139,7 @@
 			}
 
 			const call = new DirectCall({
-				directory, client: serving, random: new Random(i), log: createSilentLog(), crashers,
+				directory, client: serving, random: new Random(i), log: createSilentLog(), crashers: poisonRequests,
 			}, route, createRequest('/bad'), new AbortController().signal).run();
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(20);
@@ -148,7 +148,7 @@
 			outcomes.push(kind);
 			for (const {id, runs} of endpoints) {
 				if (runs.length > 0) {
-					crashers.noteDown(id);
+					poisonRequests.noteDown(id);
 				}
 			}
 
--- a/packages/gateway/__tests__/routed-store.spec.ts
+++ b/packages/gateway/__tests__/routed-store.spec.ts
@@ -8,12 +8,12 @@
 import {PeerLinks} from '../src/peer-links.js';
 import {PeerServer} from '../src/peer-server.js';
 import {RoutedStore} from '../src/routed-store.js';
-import {StoreGate} from '../src/store-gate.js';
+import {StoreCircuitBreaker} from '../src/store-circuit-breaker.js';
 
 const row = {table: 't', part: 'p', key: 'k'};
 const write = {conditions: [{...row, version: 0}], puts: [{...row, value: Buffer.from('a')}], deletes: []};
 
-/** One host: its own way to the store, and links to and from others. */
+/** One host: its own connection to the store, and links to and from other hosts. */
 type Host = {store: MemoryRowStore; routed: RoutedStore; address: string; close(): void};
 
 describe('RoutedStore', () => {
@@ -23,15 +23,15 @@
 	async function createHost(peers: () => string[], findKey = () => 'key'): Promise<Host> {
 		const name = `h${hosts.length}`;
 		const store = root.createView();
-		const gate = new StoreGate(store);
+		const breaker = new StoreCircuitBreaker(store);
 		const log = createSilentLog();
 		const http = new HttpServer();
 		const server = new PeerServer(http.server, {
-			host: name, gate, log, findKey,
+			host: name, breaker, log, findKey,
 		});
 		const address = await http.listen('127.0.0.1:0');
 		const routed = new RoutedStore({
-			gate, log, peers: new PeerLinks({
+			breaker, log, peers: new PeerLinks({
 				host: name, random: new Random(hosts.length + 1), log, listPeers: peers, findKey,
 			}),
 		});
@@ -49,7 +49,7 @@
 		return host;
 	}
 
-	/** Repeats work until it succeeds; the test's own limit bounds it. */
+	/** Repeats work until it succeeds; bounded by the timeout of the test. */
 	async function repeat<Result>(work: () => Promise<Result>): Promise<Result> {
 		for (;;) {
 			try {
@@ -88,7 +88,7 @@
 		}
 	});
 
-	it('reads, follows and writes by way of another host while the store refuses this one, and directly afterwards', async () => {
+	it('relays reads, polls and writes through another host while the store refuses this one, and sends them directly afterwards', async () => {
 		const helper = await createHost(() => []);
 		const cut = await createHost(() => [helper.address]);
 		cut.store.switches.isDown = true;
@@ -112,7 +112,7 @@
 		expect(helper.store.counts.reads).to.equal(before);
 	});
 
-	it('leaves a call under way to the other host when the direct way opens again', async () => {
+	it('lets a relayed call in flight finish after the direct connection has recovered', async () => {
 		const helper = await createHost(() => []);
 		const cut = await createHost(() => [helper.address]);
 		cut.store.switches.isDown = true;
@@ -130,7 +130,7 @@
 		expect(await commit).to.equal('none');
 	});
 
-	it('says that nothing was done when the other host is as lost, and asks yet another one', async () => {
+	it('reports a call as not executed if the relaying host is cut off as well, and tries another host', async () => {
 		const helper = await createHost(() => []);
 		const lost = await createHost(() => []);
 		const cut = await createHost(() => [lost.address, helper.address]);
@@ -150,7 +150,7 @@
 		expect(rows).to.have.length(1);
 	});
 
-	it('does not know the fate of a write whose answer the other host has not given', async () => {
+	it('reports the outcome of a write as unknown if the relaying host does not answer', async () => {
 		const helper = await createHost(() => []);
 		const cut = await createHost(() => [helper.address]);
 		cut.store.switches.isDown = true;
@@ -166,14 +166,14 @@
 		expect(await commit).to.equal('unknown');
 	});
 
-	it('takes no call from a host that does not prove the key', async () => {
+	it('rejects calls of a host that does not have the key', async () => {
 		const helper = await createHost(() => []);
-		const stranger = await createHost(() => [helper.address], () => 'another key');
-		stranger.store.switches.isDown = true;
+		const outsider = await createHost(() => [helper.address], () => 'another key');
+		outsider.store.switches.isDown = true;
 		const before = helper.store.counts.reads;
 		for (let i = 0; i < 20; i += 1) {
 			// eslint-disable-next-line no-await-in-loop
-			expect(await catchCode(stranger.routed.read({table: 't', part: 'p'}))).to.equal('unavailable');
+			expect(await catchCode(outsider.routed.read({table: 't', part: 'p'}))).to.equal('unavailable');
 			// eslint-disable-next-line no-await-in-loop
 			await new Promise<void>(resolve => {
 				setTimeout(resolve, 40);
@@ -185,7 +185,7 @@
 });
 
 describe('readLinkKey', () => {
-	it('gives all hosts the key that the first of them wrote', async () => {
+	it('returns to all hosts the key that the first of them wrote', async () => {
 		const store = new MemoryRowStore();
 		const keys = await Promise.all([readLinkKey(store.createView()), readLinkKey(store.createView()), readLinkKey(store)]);
 		expect(new Set(keys).size).to.equal(1);
--- a/packages/gateway/__tests__/slot-sharing.spec.ts
+++ b/packages/gateway/__tests__/slot-sharing.spec.ts
@@ -6,7 +6,7 @@
 import {MemoryRowStore} from '@wasabiusher/standins';
 import {PeerServer} from '../src/peer-server.js';
 import {SlotSharing} from '../src/slot-sharing.js';
-import {StoreGate} from '../src/store-gate.js';
+import {StoreCircuitBreaker} from '../src/store-circuit-breaker.js';
 
 type Host = {sharing: SlotSharing; address: string; close(): Promise<void>};
 
@@ -41,7 +41,7 @@
 		});
 		const http = new HttpServer();
 		const server = new PeerServer(http.server, {
-			host: name, gate: new StoreGate(new MemoryRowStore()), log, findKey, sharing,
+			host: name, breaker: new StoreCircuitBreaker(new MemoryRowStore()), log, findKey, slotSharing: sharing,
 		});
 		const address = await http.listen('127.0.0.1:0');
 		const host: Host = {
@@ -60,7 +60,7 @@
 		return host;
 	}
 
-	/** Looks at all hosts until a condition holds; the test's own limit bounds it. */
+	/** Ticks all hosts until a condition holds; bounded by the timeout of the test. */
 	async function wait(isDone: () => boolean): Promise<void> {
 		while (!isDone()) {
 			for (const {sharing} of hosts) {
@@ -77,42 +77,42 @@
 	function wantAll(count: number): void {
 		for (const {sharing} of hosts) {
 			for (const endpoint of endpoints) {
-				sharing.desk.want({endpoint, filled: 0, wants: [{urgency: 1, dueInMs: 100, count}]});
+				sharing.client.want({endpoint, filled: 0, wants: [{urgency: 1, dueInMs: 100, count}]});
 			}
 		}
 	}
 
 	function sumLimits(endpoint: string): number {
-		return hosts.reduce((sum, {sharing}) => sum + (sharing.desk.findLimit(endpoint) ?? 100), 0);
+		return hosts.reduce((sum, {sharing}) => sum + (sharing.client.findLimit(endpoint) ?? 100), 0);
 	}
 
-	it('divides the slots of each endpoint by one home for all hosts, over links that are opened for it', async () => {
+	it('divides the slots of each endpoint among all hosts by one coordinator, over links that are opened on demand', async () => {
 		for (const name of ['a', 'b', 'c']) {
 			// eslint-disable-next-line no-await-in-loop
 			await createHost(name);
 		}
 
 		wantAll(4);
-		await wait(() => hosts.every(({sharing}) => sharing.desk.counts.rations >= endpoints.length));
+		await wait(() => hosts.every(({sharing}) => sharing.client.counts.rations >= endpoints.length));
 		expect(endpoints.map(endpoint => sumLimits(endpoint))).to.deep.equal(endpoints.map(() => 6));
-		expect(hosts.reduce((sum, {sharing}) => sum + sharing.home.size, 0)).to.equal(endpoints.length);
+		expect(hosts.reduce((sum, {sharing}) => sum + sharing.coordinator.size, 0)).to.equal(endpoints.length);
 		expect(Math.max(...hosts.map(({sharing}) => sharing.links.size))).to.be.at.most(2);
 	});
 
-	it('goes by what a host sees itself once a home has died, and by another home once that is known', async () => {
+	it('falls back to local observations when a coordinator dies, and to another coordinator once the death is known', async () => {
 		const first = await createHost('a');
 		const second = await createHost('b');
 		wantAll(4);
-		await wait(() => hosts.every(({sharing}) => sharing.desk.counts.rations >= endpoints.length));
-		expect(second.sharing.home.size).to.be.below(endpoints.length);
+		await wait(() => hosts.every(({sharing}) => sharing.client.counts.rations >= endpoints.length));
+		expect(second.sharing.coordinator.size).to.be.below(endpoints.length);
 		await first.close();
 		hosts = [second];
-		const isFree = (endpoint: string) => second.sharing.desk.findLimit(endpoint) === undefined;
+		const isFree = (endpoint: string) => second.sharing.client.findLimit(endpoint) === undefined;
 		await wait(() => endpoints.some(endpoint => isFree(endpoint)));
 		live = live.filter(({host}) => host === 'b');
 		await wait(() => {
 			wantAll(4);
-			return second.sharing.home.size === endpoints.length;
+			return second.sharing.coordinator.size === endpoints.length;
 		});
 		expect(endpoints.some(endpoint => isFree(endpoint))).to.equal(false);
 	});
--- a/packages/gateway/src/access.ts
+++ b/packages/gateway/src/access.ts
@@ -1,34 +1,34 @@
 /**
- * Who may have what run: the route of a request, the customer by its key, and whether a refusal is certain.
+ * Access decisions: finds the route and the customer of a request, and tells refusals from cases that can't be decided yet.
  *
- * Load pattern: keys and routes come and go while requests that use them are on their way to hosts that hear of it at different times. A
- * refusal out of old knowledge would be final for a caller whose key was just added, so what is known is confirmed before anyone is refused.
+ * Load pattern: keys and routes are added and removed while requests that use them reach hosts that receive the change at different times. A
+ * refusal by an old configuration would be final for a caller whose key was just added, so refusals are confirmed with the store first.
  */
 import {
 	applyCustomer, findRoute, type Customer, type Deployment, type Route,
 } from '@wasabiusher/shared';
 import type {CustomerKeys} from './customer-keys.js';
 
-/** What a request tells of itself before anything of it is done. */
+/** The parts of a request that decide on access. */
 export type AccessRequest = {
 	host: string;
-	/** Without its query. */
+	/** Path without the query. */
 	path: string;
-	/** The key that came with it; undefined if none did that can be read. */
+	/** API key of the request; undefined if it has none or a malformed one. */
 	key: string | undefined;
 };
 
 /**
- * - `granted`: a customer's, or anybody's where no key is needed
- * - `unauthorized`: the key is missing or belongs to nobody
- * - `unsure`: this process can't tell at present
+ * - `granted`: the key belongs to a customer, or no key is needed
+ * - `unauthorized`: the key is missing or unknown
+ * - `unsure`: this process can't decide at present
  */
 export type Identity = {kind: 'granted'; customer?: Customer} | {kind: 'unauthorized'; reason: string} | {kind: 'unsure'};
 
-/** As an identity, with the route as it holds for the customer. */
+/** An identity with the route, including the overrides of the customer. */
 export type Access = {kind: 'granted'; route: Route; customer?: Customer} | {kind: 'unknown-route'} | Exclude<Identity, {kind: 'granted'}>;
 
-/** Finds whose key it is, by what is known. */
+/** Finds the owner of a key in the given configuration. */
 export function identify(deployment: Deployment | undefined, keys: CustomerKeys, key: string | undefined): Identity {
 	if (!deployment) {
 		return {kind: 'unsure'};
@@ -42,7 +42,7 @@
 	return {kind: 'unauthorized', reason: key === undefined ? 'a key is needed' : 'the key is not known'};
 }
 
-/** Decides on a request, by what is known. */
+/** Decides on a request by the given configuration. */
 export function decideAccess(deployment: Deployment | undefined, keys: CustomerKeys, {host, path, key}: AccessRequest): Access {
 	const route = deployment && findRoute(deployment, host, path);
 	if (!route) {
--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -1,7 +1,7 @@
 /**
- * What operators, endpoints and trainers have written in the store, as this process knows it.
+ * Configuration, endpoint registrations and published versions, as read from the store.
  *
- * A configuration or a version never goes back within one life of the process, whatever order the news arrives in.
+ * Within the lifetime of the process, the configuration and the versions never go back to older ones, whatever the order of the changes.
  */
 import type {RowChange} from '@wasabiusher/backends';
 import type {EndpointDirectory, WeightOrders} from '@wasabiusher/direct';
@@ -17,7 +17,7 @@
 		| {kind: 'version'; published: PublishedVersion}
 		| {kind: 'other'};
 
-/** Where the rows lie and how they are read; each decoder throws on what it does not expect. */
+/** Tables and decoders of the rows; each decoder throws on a malformed row. */
 export type CatalogFormat = {
 	operatorTable: string;
 	endpointTable: string;
@@ -30,14 +30,14 @@
 	directory: EndpointDirectory;
 	orders: WeightOrders;
 	log: Log;
-	/** Addresses, `ip:port`, at which no endpoint can be: this host's own. */
+	/** This host's own addresses, `ip:port`; registrations with one of them are rejected. */
 	ownAddresses?: ReadonlySet<string>;
-	/** Called when an endpoint is no longer registered. */
+	/** Called when the registration of an endpoint is removed. */
 	onDown?(endpoint: string): void;
 	onDeployment?(deployment: Deployment): void;
 };
 
-/** The present configuration, endpoints and versions. */
+/** The current configuration, endpoints and published versions. */
 export class Catalog {
 	readonly keys = new CustomerKeys();
 	readonly #settings: CatalogSettings;
@@ -55,7 +55,7 @@
 		return this.#deployment;
 	}
 
-	/** Takes over a row of the operators' table. */
+	/** Applies a row of the operators' table. A malformed row is logged and ignored. */
 	applyOperatorRow(change: RowChange): void {
 		const {key, value} = change;
 		if (value === undefined) {
@@ -70,7 +70,7 @@
 		}
 	}
 
-	/** Takes over a registration, or its removal. A row that can't be read, as another writer may leave, names no endpoint; the others hold. */
+	/** Applies a registration or its removal. A malformed row, which another writer may leave, removes its endpoint and affects no others. */
 	applyEndpoint(change: RowChange): void {
 		const {key, value} = change;
 		const {format, directory, log, ownAddresses} = this.#settings;
@@ -84,7 +84,7 @@
 		try {
 			const endpoint = format.decodeEndpoint(key, value);
 			if (ownAddresses?.has(endpoint.address)) {
-				throw new Error(`${endpoint.address} is this host's own address`);
+				throw new Error(`${endpoint.address} is an address of this host; an endpoint needs an address of its own`);
 			}
 
 			const known = directory.get(key);
@@ -134,6 +134,6 @@
 		}
 	},
 	other() {
-		// Rows of other matters may lie in the table.
+		// The table may hold rows for other purposes.
 	},
 };
--- a/packages/gateway/src/confirmation.ts
+++ b/packages/gateway/src/confirmation.ts
@@ -1,20 +1,21 @@
 /**
- * Refusals that the store has confirmed.
+ * Confirms refusals with the store.
  *
- * Load pattern: a configuration adds a route or a key, and requests for it arrive at a host before the news does. Refused by what is known, they would be
- * given up for good; asked once more, the store tells the news, or that there is none.
+ * Load pattern: a configuration adds a route or a key, and requests that use it reach a host before the change does. A refusal by the older
+ * configuration would be final for the caller, so the store is polled once more for changes first.
  */
 
 /**
- * Longest wait of a request that would be refused until the store has confirmed what is known, in milliseconds: the caller can still be served
- * elsewhere in its time.
+ * Longest time for which a refusal waits for the store's confirmation, in milliseconds: short enough that the caller can still be served by
+ * another host within its timeout.
  */
-const confirmMs = 400;
+const confirmationTimeoutMs = 400;
 
 /**
- * Decides by what is known, and before a refusal once more by what the store says now. Never rejects if `refresh` does not.
+ * Decides by the local state, and refreshes that state and decides again before a refusal. Never rejects if `refresh` does not.
  *
- * @param refresh - asks the store for news; false if it could not tell
+ * @param refresh - reads changes from the store; resolves to false if the store did not answer
+ * @returns the decision, or `unsure` if the refusal could not be confirmed in time
  */
 export async function confirmRefusal<Decision extends {kind: string}>(decide: () => Decision, refresh: () => Promise<boolean>): Promise<Decision | {kind: 'unsure'}> {
 	const decision = decide();
@@ -22,12 +23,12 @@
 		return decision;
 	}
 
-	const isConfirmed = await Promise.race([refresh(), waitForNothing(confirmMs)]);
+	const isConfirmed = await Promise.race([refresh(), resolveFalseAfter(confirmationTimeoutMs)]);
 	return isConfirmed ? decide() : {kind: 'unsure'};
 }
 
-/** Resolves to false after a time. */
-async function waitForNothing(ms: number): Promise<false> {
+/** Resolves to false after the given time in milliseconds. */
+async function resolveFalseAfter(ms: number): Promise<false> {
 	return new Promise(resolve => {
 		setTimeout(() => {
 			resolve(false);
--- a/packages/gateway/src/customer-keys.ts
+++ b/packages/gateway/src/customer-keys.ts
@@ -1,36 +1,36 @@
 /**
- * The keys of customers, for one lookup a request.
+ * Index of the API keys of customers, read once per request.
  *
- * Load pattern: 100,000 keys of which one comes or goes with a version of the configuration, thousands of times a day, before
- * requests that are each looked up. A change costs in proportion to the keys of the customers that it touches.
+ * Load pattern: 100,000 keys, of which one is added or removed by each configuration version, thousands of times a day, while every
+ * request needs a lookup. The cost of a change is proportional to the number of keys of the affected customers.
  */
 import type {Customer} from '@wasabiusher/shared';
 
 const noCustomers: ReadonlyMap<string, Customer> = new Map();
 
-/** The keys in force. */
+/** The keys of the current configuration. */
 export class CustomerKeys {
 	readonly #owners = new Map<string, string>();
 	#customers = noCustomers;
 
-	/** Puts the keys of a newer configuration in force. */
+	/** Replaces the keys by those of a newer configuration. */
 	adopt(customers: ReadonlyMap<string, Customer> = noCustomers): void {
-		const before = this.#customers;
+		const previous = this.#customers;
 		this.#customers = customers;
-		for (const [name, {keys}] of before) {
+		for (const [name, {keys}] of previous) {
 			if (!hasSameKeys(keys, customers.get(name)?.keys)) {
 				this.#remove(name, keys);
 			}
 		}
 
 		for (const [name, {keys}] of customers) {
-			if (!hasSameKeys(keys, before.get(name)?.keys)) {
+			if (!hasSameKeys(keys, previous.get(name)?.keys)) {
 				this.#add(name, keys);
 			}
 		}
 	}
 
-	/** Whose key it is; undefined if it is not known. */
+	/** Returns the owner of a key; undefined if the key is unknown. */
 	findOwner(key: string): Customer | undefined {
 		const name = this.#owners.get(key);
 		return name === undefined ? undefined : this.#customers.get(name);
--- a/packages/gateway/src/endpoint-view.ts
+++ b/packages/gateway/src/endpoint-view.ts
@@ -1,14 +1,14 @@
 /**
- * An endpoint's standing as operators see it.
+ * Conversion of endpoint states to the form that operators read.
  */
 import type {EndpointStanding} from '@wasabiusher/direct';
 import type {EndpointView} from '@wasabiusher/shared';
 
-/** Tells what this host knows of an endpoint. */
-export function toEndpointView(standing: EndpointStanding): EndpointView {
+/** Converts this host's state of an endpoint to the view for operators. */
+export function toEndpointView(state: EndpointStanding): EndpointView {
 	const {
 		endpoint: {id, service, dataCentre, slots, isDraining}, open, others, isAvailable, paceMs, bestMs, versions,
-	} = standing;
+	} = state;
 	return {
 		id, service, dataCentre, slots, open, others, isDraining, isAvailable, paceMs, bestPaceMs: bestMs, versions: Object.fromEntries(versions),
 	};
--- a/packages/gateway/src/gateway-metrics.ts
+++ b/packages/gateway/src/gateway-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * The gateway's metrics, by the conventions of Prometheus: seconds, `_total`, few labels.
+ * Prometheus metrics of the gateway. Follows the conventions of Prometheus: seconds as the unit, `_total` for counters, few labels.
  */
 import {
 	Counter, Gauge, Histogram, type Registry,
@@ -7,13 +7,13 @@
 import type {CallOutcome, StreamOutcome} from '@wasabiusher/direct';
 import {storeWays, type GatewayStatus} from '@wasabiusher/shared';
 
-/** Bounds in seconds, from a plain call within a data centre to a long stream. */
+/** Bucket bounds in seconds, from a short call within a data centre to a long stream. */
 const durationBuckets = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10];
 
-/** How a caller's request ended. */
-export type CallEnd = (CallOutcome | StreamOutcome)['kind'];
+/** Outcome of a caller's request. */
+export type CallOutcomeKind = (CallOutcome | StreamOutcome)['kind'];
 
-/** A gauge whose values are read at a scrape. */
+/** A gauge whose values are read from the status at each scrape. */
 type StatusGauge = {
 	name: string;
 	help: string;
@@ -21,8 +21,8 @@
 	read(status: GatewayStatus): ReadonlyArray<{labels?: Record<string, string>; value: number}>;
 };
 
-/** Counts of the parts, by name; each only grows. */
-export type PartCounts = Readonly<Record<string, number>>;
+/** Event counts of the components by event name; each only grows. */
+export type EventCounts = Readonly<Record<string, number>>;
 
 const statusGauges: readonly StatusGauge[] = [
 	{name: 'ready', help: 'Whether new work should come to this host', read: ({isReady}) => [{value: Number(isReady)}]},
@@ -42,7 +42,7 @@
 	},
 	{
 		name: 'line_waiting', help: 'Requests, texts and scores that wait for a slot', labels: ['urgency'],
-		read: ({turns}) => sumBy(turns.map(({urgency, waiting}) => [String(urgency), waiting])).map(([urgency, value]) => ({labels: {urgency}, value})),
+		read: ({turns}) => sumByKey(turns.map(({urgency, waiting}) => [String(urgency), waiting])).map(([urgency, value]) => ({labels: {urgency}, value})),
 	},
 	{
 		name: 'endpoint_slots', help: 'Slots of the endpoints of a service', labels: ['service'], read: ({endpoints}) => sumByService(endpoints.map(({service, slots}) => [service, slots])),
@@ -58,16 +58,16 @@
 
 const prefix = 'wasabiusher_gateway_';
 
-/** Counts, times and gauges of one gateway. */
+/** Counters, histograms and gauges of one gateway. */
 export class GatewayMetrics {
 	readonly #calls: Counter<'route' | 'outcome'>;
 	readonly #seconds: Histogram<'route'>;
 
 	/**
-	 * @param readStatus - the state at the time of a scrape
-	 * @param readCounts - what the parts have counted so far
+	 * @param readStatus - returns the state at the time of a scrape
+	 * @param readCounts - returns the event counts at the time of a scrape
 	 */
-	constructor(registry: Registry, readStatus: () => GatewayStatus, readCounts: () => PartCounts) {
+	constructor(registry: Registry, readStatus: () => GatewayStatus, readCounts: () => EventCounts) {
 		const registers = [registry];
 		this.#calls = new Counter({
 			name: `${prefix}calls_total`, help: 'Requests of callers that have ended, by how', labelNames: ['route', 'outcome'], registers,
@@ -95,14 +95,14 @@
 		});
 	}
 
-	/** Counts a caller's request that has ended. */
-	recordCall(route: string, outcome: CallEnd, durationMs: number): void {
+	/** Records a finished request of a caller, with its duration in milliseconds. */
+	recordCall(route: string, outcome: CallOutcomeKind, durationMs: number): void {
 		this.#calls.inc({route, outcome});
 		this.#seconds.observe({route}, durationMs / 1000);
 	}
 }
 
-function sumBy(items: ReadonlyArray<readonly [string, number]>): Array<[string, number]> {
+function sumByKey(items: ReadonlyArray<readonly [string, number]>): Array<[string, number]> {
 	const sums = new Map<string, number>();
 	for (const [key, value] of items) {
 		sums.set(key, (sums.get(key) ?? 0) + value);
@@ -112,5 +112,5 @@
 }
 
 function sumByService(items: ReadonlyArray<readonly [string, number]>) {
-	return sumBy(items).map(([service, value]) => ({labels: {service}, value}));
+	return sumByKey(items).map(([service, value]) => ({labels: {service}, value}));
 }
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -1,5 +1,5 @@
 /**
- * What a gateway is told at its start.
+ * Settings of a gateway, fixed at its start.
  */
 import type {Server} from 'node:http';
 import type {
@@ -12,9 +12,9 @@
 export type GatewaySettings = {
 	/** Name of the host. */
 	host: string;
-	/** Where it is; endpoints there are near. */
+	/** Data centre of the host; endpoints in the same one count as near. */
 	dataCentre?: string;
-	/** Cores that this process may use; undefined if it does not know. */
+	/** Number of CPU cores that this process may use; undefined if unknown. */
 	cores?: number;
 	rows: RowStore;
 	blobs: BlobStore;
@@ -22,19 +22,19 @@
 	format: CatalogFormat;
 	random: Random;
 	log: Log;
-	/** Term of the lease under which orders are given, in milliseconds. */
+	/** Term of the lease under which weight orders are given, in milliseconds. */
 	leaseMs: number;
-	/** Whether endpoints and the platform refuse what comes under an older fence than they have seen; they do by default. */
+	/** Whether endpoints and the platform reject requests with a fence older than the newest that they have received; true by default. */
 	checksFences?: boolean;
-	/** How long a batch is read after it was handed in, in milliseconds. */
+	/** Time for which a batch must be readable after its submission, in milliseconds. */
 	statusMs: number;
-	/** Where other hosts link to this one; undefined if they can't. */
+	/** Address, `ip:port`, and server for links from other hosts; undefined if they can't link to this one. */
 	peers?: {address: string; server: Server};
-	/** Addresses of this host, `ip:port`, at which no endpoint can be. */
+	/** Addresses of this host, `ip:port`; registrations of endpoints with one of them are rejected. */
 	ownAddresses?: ReadonlySet<string>;
-	/** How usage is reported; undefined if nobody wants to know it. */
+	/** How usage is reported; undefined if it is not reported. */
 	usage?: {client: DutyClient; windowMs: number; dueMs: number};
-	/** Which mechanisms decide; all by default. */
+	/** Enabled mechanisms; `defaultPolicy` if not given. */
 	policy?: Policy;
 	onDeployment?(deployment: Deployment): void;
 };
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,5 +1,5 @@
 /**
- * One entry host without agents: learns what is in force, routes calls, runs batches and gives orders for weights.
+ * An entry host that calls endpoints directly, without agents: follows the configuration, routes calls, runs batches and orders weight loads.
  */
 import {
 	Batches, batchParts, BatchStore, batchTable, HostRegistry, hostTable, KeptTexts, SpeedRows,
@@ -21,87 +21,87 @@
 } from './access.js';
 import {Catalog} from './catalog.js';
 import {confirmRefusal} from './confirmation.js';
-import {crasherPart, Crashers} from './crashers.js';
+import {poisonRequestPart, PoisonRequests} from './poison-requests.js';
 import {toEndpointView} from './endpoint-view.js';
-import type {PartCounts} from './gateway-metrics.js';
+import type {EventCounts} from './gateway-metrics.js';
 import type {GatewaySettings} from './gateway-settings.js';
-import {learnLinkKey} from './link-key.js';
+import {waitForLinkKey} from './link-key.js';
 import {PeerLinks} from './peer-links.js';
 import {PeerServer} from './peer-server.js';
 import {RoutedStore} from './routed-store.js';
 import {SlotSharing} from './slot-sharing.js';
-import {StoreGate} from './store-gate.js';
-import {StoreReturn} from './store-return.js';
+import {StoreCircuitBreaker} from './store-circuit-breaker.js';
+import {StoreRecovery} from './store-recovery.js';
 
-/** How often what nobody reads any more is removed, in milliseconds. */
-const sweepMs = 10_000;
+/** Interval at which expired rows and objects are removed, in milliseconds. */
+const sweepIntervalMs = 10_000;
 
-/** How much longer than it must be readable a batch is kept, as a factor: readers and hosts may lag. */
+/** Ratio of the time for which a batch is kept to the time for which it must be readable; readers and hosts may lag. */
 const retentionFactor = 2;
 
-/** How often orders for weights are looked after, and the lateness of this process is measured, in milliseconds. */
-const ordersMs = 50;
+/** Interval at which weight orders and slot sharing are updated and the event-loop lag is measured, in milliseconds. */
+const tickIntervalMs = 50;
 
 /**
- * Longest wait for changes of the configuration, in milliseconds. One must be in force 2 s after its confirmation, also on a
- * host whose connection has gone silent; and a host should know soon that it is cut off from the store.
+ * Longest wait of one poll for configuration changes, in milliseconds. A change must be in force 2 s after its confirmation, even on a
+ * host whose connection stops responding, and a host must detect quickly that it is cut off from the store.
  */
-const operatorWaitMs = 700;
+const configurationWaitMs = 700;
 
 /**
- * Time without an answer of the store after which new work had better go to a host that hears it, in milliseconds: a
- * regular wait and one lost answer.
+ * Age of the configuration above which this host reports itself as not ready, in milliseconds, so that new work goes to a host that reaches the
+ * store. Covers one regular poll and one lost answer.
  */
-const cutOffMs = 3000;
+const maxConfigurationAgeMs = 3000;
 
 /**
- * Least time between two calls for registrations and heartbeats, in milliseconds. An endpoint that leaves must get nothing new two seconds after
- * it has said so, and a silent host is suspected after 0.9 s; both bear a sixth of a second.
+ * Minimum time between two polls for registrations and heartbeats, in milliseconds. A draining endpoint must get no new requests 2 s after
+ * its announcement, and a host without heartbeats is suspected after 0.9 s; both tolerate a delay of a sixth of a second.
  */
-const gatherMs = 150;
+const minFollowIntervalMs = 150;
 
-/** Part of the table of batches, which all hosts follow without a pause, in which the news of loads lie. */
-const loadPart = 'loads';
+/** Part of the batch table that holds announcements of weight loads. All hosts follow this table without a pause between polls. */
+const loadAnnouncementPart = 'loads';
 
 /**
- * Time after which an order and a report of usage have arrived or were given up, in milliseconds: the longest wait of their clients for an answer. Where
- * nobody checks fences, they are sent only under a lease that lasts so long.
+ * Time after which an order or a usage report has arrived or was given up, in milliseconds: the longest time for which its client waits for an
+ * answer. If the receivers don't check fences, both are sent only while the remaining term of the lease is longer than that.
  */
-const orderRoomMs = 1000;
-const reportRoomMs = 1500;
+const orderTimeoutMs = 1000;
+const reportTimeoutMs = 1500;
 
-/** The host's part of the system. */
+/** The parts of the service that run on one host, and the access to them for HTTP front ends. */
 export class Gateway {
 	readonly batches: Batches;
 	readonly #settings: GatewaySettings;
 	readonly #policy: Policy;
-	readonly #lateness = new Lateness();
-	/** Second attempts of calls and scores, by service. */
+	readonly #eventLoopLag = new Lateness();
+	/** Budget for hedged attempts of calls and scores, by service. */
 	readonly #hedges: RetryBudget | undefined;
 	readonly #directory: EndpointDirectory;
-	readonly #line: EndpointLine | undefined;
+	readonly #endpointQueue: EndpointLine | undefined;
 	readonly #catalog: Catalog;
 	readonly #hosts: HostRegistry;
-	readonly #crashers: Crashers;
+	readonly #poisonRequests: PoisonRequests;
 	readonly #lease: LeaseHolder;
 	readonly #orders: WeightOrders;
-	readonly #loadNews: LoadNews;
-	readonly #sharing: SlotSharing | undefined;
+	readonly #loadAnnouncements: LoadNews;
+	readonly #slotSharing: SlotSharing | undefined;
 	readonly #followers: TableFollower[];
 	readonly #operatorFollower: TableFollower;
-	/** Without what these tell, work can't be taken. */
-	readonly #neededFollowers: TableFollower[];
-	readonly #gate: StoreGate;
-	readonly #rows: RoutedStore;
-	readonly #storeReturn: StoreReturn;
+	/** Followers that must be synchronized before this host accepts work. */
+	readonly #requiredFollowers: TableFollower[];
+	readonly #storeBreaker: StoreCircuitBreaker;
+	readonly #routedStore: RoutedStore;
+	readonly #storeRecovery: StoreRecovery;
 	readonly #peerServer: PeerServer | undefined;
-	readonly #trueTime: TrueTime;
+	readonly #platformTime: TrueTime;
 	readonly #usage: Usage | undefined;
 	readonly #speedRows: SpeedRows | undefined;
 	#linkKey: string | undefined;
-	#timer: NodeJS.Timeout | undefined;
-	/** When the next tick is due, on the monotonic clock. */
-	#dueAt = 0;
+	#tickTimer: NodeJS.Timeout | undefined;
+	/** Time at which the next tick is due, on the monotonic clock. */
+	#nextTickAt = 0;
 	#sweepTimer: NodeJS.Timeout | undefined;
 	#isDraining = false;
 	#isStopped = false;
@@ -113,43 +113,43 @@
 		} = settings;
 		this.#policy = policy;
 		this.#hedges = policy.hedgesCalls ? new RetryBudget() : undefined;
-		this.#gate = new StoreGate(settings.rows);
+		this.#storeBreaker = new StoreCircuitBreaker(settings.rows);
 		const findKey = () => this.#linkKey;
 		const rows = new RoutedStore({
-			gate: this.#gate, log, isRelaying: policy.relaysStoreCalls, countHosts: () => this.#hosts.count, peers: new PeerLinks({
+			breaker: this.#storeBreaker, log, isRelaying: policy.relaysStoreCalls, countHosts: () => this.#hosts.count, peers: new PeerLinks({
 				host, random, log, findKey, listPeers: () => this.#hosts.listPeers(),
 			}),
 		});
-		this.#rows = rows;
-		this.#trueTime = new TrueTime(() => this.#gate.steadyStoreMs);
-		this.#directory = new EndpointDirectory(random, policy, this.#lateness);
-		this.#sharing = policy.sharesSlots
+		this.#routedStore = rows;
+		this.#platformTime = new TrueTime(() => this.#storeBreaker.steadyStoreMs);
+		this.#directory = new EndpointDirectory(random, policy, this.#eventLoopLag);
+		this.#slotSharing = policy.sharesSlots
 			? new SlotSharing({
 				host, directory: this.#directory, random, log, findKey, listHosts: () => this.#hosts.listLive(),
 			})
 			: undefined;
 		this.#peerServer = settings.peers && new PeerServer(settings.peers.server, {
-			host, gate: this.#gate, log, findKey, sharing: this.#sharing,
+			host, breaker: this.#storeBreaker, log, findKey, slotSharing: this.#slotSharing,
 		});
-		this.#crashers = new Crashers({
-			rows, table: hostTable, host, directory: this.#directory, log, readStoreMs: () => this.#gate.storeMs,
+		this.#poisonRequests = new PoisonRequests({
+			rows, table: hostTable, host, directory: this.#directory, log, readStoreMs: () => this.#storeBreaker.storeMs,
 		});
-		this.#line = policy.queuesAtHost ? new EndpointLine(this.#directory) : undefined;
+		this.#endpointQueue = policy.queuesAtHost ? new EndpointLine(this.#directory) : undefined;
 		this.#lease = new LeaseHolder({
 			tables: new PartTables(rows), shard: 'weights', holder: host, isOnlyOnHost: true, random, log, termMs: leaseMs,
 		});
-		this.#loadNews = new LoadNews({
-			rows, table: batchTable, part: loadPart, writer: host, log, onLoad: (load, forMs) => {
+		this.#loadAnnouncements = new LoadNews({
+			rows, table: batchTable, part: loadAnnouncementPart, writer: host, log, onLoad: (load, forMs) => {
 				this.#directory.loads.note(load, forMs);
 			},
 		});
 		this.#orders = new WeightOrders({
-			directory: this.#directory, client, right: this.#lease, holder: host, log, chooseMode: service => this.#chooseMode(service),
-			orderRoomMs: settings.checksFences === false ? orderRoomMs : 0,
+			directory: this.#directory, client, right: this.#lease, holder: host, log, chooseMode: service => this.#chooseLoadMode(service),
+			orderRoomMs: settings.checksFences === false ? orderTimeoutMs : 0,
 			findNeeds: () => this.batches.listNeeds(),
 			tellLoad: policy.tellsLoads
 				? (load, forMs) => {
-					this.#loadNews.tell(load, forMs);
+					this.#loadAnnouncements.tell(load, forMs);
 				}
 				: undefined,
 			isServed: service => this.#catalog.deployment?.services.some(({name}) => name === service) ?? false,
@@ -158,49 +158,49 @@
 		});
 		this.#catalog = new Catalog({
 			format, directory: this.#directory, orders: this.#orders, log, onDown: endpoint => {
-				this.#crashers.noteDown(endpoint);
+				this.#poisonRequests.noteDown(endpoint);
 			}, ownAddresses: settings.ownAddresses, onDeployment: settings.onDeployment,
 		});
 		this.#hosts = new HostRegistry({
-			rows, host, dataCentre, cores, address: settings.peers?.address, log, policy, findLateMs: () => this.#lateness.usualMs, ownsWork: () => this.batches.hasWork,
-			readClockMs: () => this.#trueTime.ownOffsetMs,
-			onClock: (other, clockMs) => {
-				this.#trueTime.learn(other, clockMs);
+			rows, host, dataCentre, cores, address: settings.peers?.address, log, policy, findLateMs: () => this.#eventLoopLag.usualMs, ownsWork: () => this.batches.hasWork,
+			readClockMs: () => this.#platformTime.ownOffsetMs,
+			onClock: (otherHost, clockMs) => {
+				this.#platformTime.learn(otherHost, clockMs);
 			},
 			listWaiting: () => this.batches.listWaiting(),
-			listPaces: most => this.#directory.listOwnPaces(most),
+			listPaces: maxCount => this.#directory.listOwnPaces(maxCount),
 			onPaces: paces => {
 				this.#directory.learnPaces(paces);
 			},
 		});
 		this.batches = new Batches({
-			directory: this.#directory, line: this.#line, client, random, log, policy, host, dataCentre, hosts: this.#hosts, hedges: this.#hedges,
-			store: new BatchStore(rows, this.#gate.guard(settings.blobs)),
+			directory: this.#directory, line: this.#endpointQueue, client, random, log, policy, host, dataCentre, hosts: this.#hosts, hedges: this.#hedges,
+			store: new BatchStore(rows, this.#storeBreaker.guard(settings.blobs)),
 			keptTexts: new KeptTexts(rows),
 			findDeployment: () => this.#catalog.deployment,
 			findPublished: model => this.#orders.findPublished(model),
-			readStoreMs: () => this.#gate.storeMs,
-			isStoreOpen: () => !this.#gate.isLost || rows.isRelayed,
+			readStoreMs: () => this.#storeBreaker.storeMs,
+			isStoreOpen: () => !this.#storeBreaker.isTripped || rows.isRelayed,
 		});
 		this.#usage = this.#createUsage();
 		this.#speedRows = policy.plansTexts ? new SpeedRows({rows, directory: this.#directory, log}) : undefined;
 		const chance = () => random.next();
 		this.#operatorFollower = new TableFollower({
-			store: rows.probing, table: format.operatorTable, parts: [''], log, waitMs: operatorWaitMs, apply: change => {
+			store: rows.probing, table: format.operatorTable, parts: [''], log, waitMs: configurationWaitMs, apply: change => {
 				this.#catalog.applyOperatorRow(change);
 			},
 		});
-		this.#neededFollowers = [
+		this.#requiredFollowers = [
 			this.#operatorFollower,
 			new TableFollower({
-				store: rows.probing, table: format.endpointTable, parts: [''], log, gatherMs, chance, apply: change => {
+				store: rows.probing, table: format.endpointTable, parts: [''], log, gatherMs: minFollowIntervalMs, chance, apply: change => {
 					this.#catalog.applyEndpoint(change);
 				},
 			}),
 			new TableFollower({
 				store: rows.probing, table: batchTable, parts: batchParts, log, apply: change => {
-					if (change.part === loadPart) {
-						this.#loadNews.apply(change);
+					if (change.part === loadAnnouncementPart) {
+						this.#loadAnnouncements.apply(change);
 					} else {
 						this.batches.apply(change);
 					}
@@ -208,12 +208,12 @@
 			}),
 		];
 		this.#followers = [
-			...this.#neededFollowers,
+			...this.#requiredFollowers,
 			new TableFollower({
-				store: rows.probing, table: hostTable, parts: ['', crasherPart], log, gatherMs, chance,
+				store: rows.probing, table: hostTable, parts: ['', poisonRequestPart], log, gatherMs: minFollowIntervalMs, chance,
 				apply: change => {
-					if (change.part === crasherPart) {
-						this.#crashers.apply(change);
+					if (change.part === poisonRequestPart) {
+						this.#poisonRequests.apply(change);
 					} else {
 						this.#hosts.apply(change);
 					}
@@ -223,29 +223,29 @@
 				},
 			}),
 		];
-		this.#storeReturn = new StoreReturn({
+		this.#storeRecovery = new StoreRecovery({
 			followers: this.#followers, chance, countHosts: () => this.#hosts.count,
-			beat: async () => this.#hosts.beat(),
-			release: () => {
+			sendHeartbeat: async () => this.#hosts.beat(),
+			releaseWrites: () => {
 				this.batches.releaseCommits();
 			},
 		});
-		this.#gate.watchRegained(() => {
-			this.#storeReturn.begin();
+		this.#storeBreaker.setRecoveryListener(() => {
+			this.#storeRecovery.start();
 		});
 	}
 
-	/** Whether new work should come here. The heartbeats of others need not be known: a part of the store may be down at a start. */
+	/** Whether this host should get new work. Does not require the heartbeats of other hosts, since a part of the store may be down at the start. */
 	get isReady(): boolean {
-		const knowsAll = this.#catalog.deployment !== undefined && this.#neededFollowers.every(({isSynced}) => isSynced);
-		return knowsAll && !this.#isDraining && this.#operatorFollower.ageMs < cutOffMs;
+		const hasSynced = this.#catalog.deployment !== undefined && this.#requiredFollowers.every(({isSynced}) => isSynced);
+		return hasSynced && !this.#isDraining && this.#operatorFollower.ageMs < maxConfigurationAgeMs;
 	}
 
 	get deployment(): Deployment | undefined {
 		return this.#catalog.deployment;
 	}
 
-	/** What operators are told of this host. */
+	/** State of this host as shown to operators. */
 	get status(): GatewayStatus {
 		const {host, dataCentre = ''} = this.#settings;
 		return {
@@ -254,22 +254,22 @@
 			isReady: this.isReady,
 			configuration: this.#catalog.deployment?.version,
 			configurationAgeMs: Number.isFinite(this.#operatorFollower.ageMs) ? Math.round(this.#operatorFollower.ageMs) : undefined,
-			storeWay: this.#rows.way,
-			lateMs: Math.round(this.#lateness.usualMs),
+			storeWay: this.#routedStore.mode,
+			lateMs: Math.round(this.#eventLoopLag.usualMs),
 			isHolder: this.#lease.holds(),
 			shares: this.batches.ownedCount,
 			waiting: this.batches.listWaiting(),
 			published: Object.fromEntries(this.#orders.published),
-			turns: this.#line?.listTurns() ?? [],
-			endpoints: this.#directory.listStandings().map(standing => toEndpointView(standing)),
+			turns: this.#endpointQueue?.listTurns() ?? [],
+			endpoints: this.#directory.listStandings().map(state => toEndpointView(state)),
 		};
 	}
 
-	/** What the parts have counted since the start. */
-	get counts(): PartCounts {
-		const answers = this.#line?.counts.map(({kind, answer, count}): [string, number] => [`line-${kind}-${answer}`, count]) ?? [];
+	/** Event counts of all components since the start, by event name; each only grows. */
+	get counts(): EventCounts {
+		const queueCounts = this.#endpointQueue?.counts.map(({kind, answer, count}): [string, number] => [`line-${kind}-${answer}`, count]) ?? [];
 		return {
-			...this.batches.counts, ...this.#loadNews.counts, ...this.#directory.loads.counts, ...this.#directory.counts, ...this.#crashers.counts, ...this.#sharing?.counts, ...Object.fromEntries(answers),
+			...this.batches.counts, ...this.#loadAnnouncements.counts, ...this.#directory.loads.counts, ...this.#directory.counts, ...this.#poisonRequests.counts, ...this.#slotSharing?.counts, ...Object.fromEntries(queueCounts),
 		};
 	}
 
@@ -278,80 +278,80 @@
 			void follower.run();
 		}
 
-		void this.#learnKey();
+		void this.#loadLinkKey();
 		this.#hosts.start();
 		this.batches.start();
 		this.#lease.start();
 		this.#usage?.start();
 		this.#speedRows?.start();
-		this.#dueAt = performance.now() + ordersMs;
-		this.#timer = setInterval(() => {
-			this.#noteLateness();
+		this.#nextTickAt = performance.now() + tickIntervalMs;
+		this.#tickTimer = setInterval(() => {
+			this.#recordEventLoopLag();
 			this.#orders.tick();
-			this.#sharing?.tick();
-		}, ordersMs);
+			this.#slotSharing?.tick();
+		}, tickIntervalMs);
 		this.#sweepTimer = setInterval(() => {
-			this.#logSharing();
-			// The holder of the lease does it for all; two at once do no harm.
+			this.#logSlotSharing();
+			// Only the lease holder sweeps. Two holders at once do no harm.
 			if (this.#lease.holds()) {
-				void this.#crashers.sweep();
+				void this.#poisonRequests.sweep();
 				void this.batches.sweep(retentionFactor * this.#settings.statusMs);
 			}
-		}, sweepMs);
+		}, sweepIntervalMs);
 	}
 
-	/** Finds the route and the customer of a request; a refusal is what the store has confirmed. Never rejects. */
+	/** Finds the route and the customer of a request. Refuses only after the store has confirmed that the configuration is current. Never rejects. */
 	async findAccess(request: AccessRequest): Promise<Access> {
 		return confirmRefusal(() => decideAccess(this.#catalog.deployment, this.#catalog.keys, request), async () => this.#operatorFollower.refresh());
 	}
 
-	/** Finds whose key it is, for calls that concern no route. A refusal is what the store has confirmed. Never rejects. */
+	/** Finds the owner of an API key, for calls without a route. Refuses only after the store has confirmed that the configuration is current. Never rejects. */
 	async identify(key: string | undefined): Promise<Identity> {
 		return confirmRefusal(() => identify(this.#catalog.deployment, this.#catalog.keys, key), async () => this.#operatorFollower.refresh());
 	}
 
-	/** Answers a caller's request. */
+	/** Runs a caller's request to completion. */
 	async call(route: Route, request: CallerRequest, signal: AbortSignal): Promise<CallOutcome> {
 		return new DirectCall(this.#callSettings, route, request, signal).run();
 	}
 
-	/** Begins a streamed answer. */
+	/** Opens a streamed answer to a caller's request. */
 	async openStream(route: Route, request: CallerRequest, signal: AbortSignal): Promise<StreamOutcome> {
 		return new StreamCall(this.#callSettings, route, request, signal).open();
 	}
 
-	/** Takes no new work and hands over what lasts; calls under way go on. Never rejects. */
+	/** Stops accepting work and hands over leases and batches to other hosts; calls in flight continue. Never rejects. */
 	async drain(): Promise<void> {
 		const {log} = this.#settings;
 		this.#isDraining = true;
 		this.#usage?.resign();
-		clearInterval(this.#timer);
+		clearInterval(this.#tickTimer);
 		clearInterval(this.#sweepTimer);
 		try {
-			await Promise.all([this.#leaveOrders(), this.batches.handOver()]);
+			await Promise.all([this.#endLease(), this.batches.handOver()]);
 		} catch (error) {
 			log.warn('hand_over_failed', {reason: describeError(error)});
 		}
 	}
 
-	/** Tells the last that there is to tell, once no call is under way any more. Never rejects. */
-	async leave(): Promise<void> {
+	/** Reports the remaining usage. To be called once no call is in flight. Never rejects. */
+	async flushUsage(): Promise<void> {
 		await this.#usage?.leave();
 	}
 
-	/** Ends all that goes on in the background. */
+	/** Stops all background work. */
 	stop(): void {
-		clearInterval(this.#timer);
+		clearInterval(this.#tickTimer);
 		clearInterval(this.#sweepTimer);
 		this.#lease.stop();
-		this.#loadNews.stop();
-		this.#sharing?.close();
+		this.#loadAnnouncements.stop();
+		this.#slotSharing?.close();
 		this.#usage?.stop();
 		this.#speedRows?.stop();
 		this.#hosts.stop();
 		this.batches.stop();
-		this.#rows.stop();
-		this.#storeReturn.stop();
+		this.#routedStore.stop();
+		this.#storeRecovery.stop();
 		this.#peerServer?.close();
 		this.#isStopped = true;
 		for (const follower of this.#followers) {
@@ -359,43 +359,43 @@
 		}
 	}
 
-	#logSharing(): void {
-		const counts = this.#sharing?.counts;
+	#logSlotSharing(): void {
+		const counts = this.#slotSharing?.counts;
 		if (counts && counts.demands + counts.demandsTaken > 0) {
 			this.#settings.log.info('slots_shared', counts);
 		}
 	}
 
-	#noteLateness(): void {
+	#recordEventLoopLag(): void {
 		const now = performance.now();
-		this.#lateness.record(now - this.#dueAt);
-		this.#dueAt = now + ordersMs;
+		this.#eventLoopLag.record(now - this.#nextTickAt);
+		this.#nextTickAt = now + tickIntervalMs;
 	}
 
-	async #learnKey(): Promise<void> {
-		this.#linkKey = await learnLinkKey(this.#gate, this.#settings.log, () => this.#isStopped);
+	async #loadLinkKey(): Promise<void> {
+		this.#linkKey = await waitForLinkKey(this.#storeBreaker, this.#settings.log, () => this.#isStopped);
 	}
 
 	#createUsage(): Usage | undefined {
 		const {usage, host, random, log, checksFences = true} = this.#settings;
 		return usage && new Usage({
 			...usage,
-			store: new UsageStore(this.#rows),
+			store: new UsageStore(this.#routedStore),
 			host,
 			incarnation: this.#hosts.incarnation,
 			right: this.#lease,
-			sendRoomMs: checksFences ? 0 : reportRoomMs,
+			sendRoomMs: checksFences ? 0 : reportTimeoutMs,
 			log,
-			readTrueMs: () => this.#trueTime.read(),
+			readTrueMs: () => this.#platformTime.read(),
 			countHosts: () => this.#hosts.count,
 			chance: () => random.next(),
 		});
 	}
 
-	/** Gives the lease up at once only if nothing was done under it for a term: acts of two holders must never lie closer than that. */
-	async #leaveOrders(): Promise<void> {
-		const sinceActMs = Math.min(this.#orders.sinceOrderMs, this.#usage?.sinceActMs ?? Number.POSITIVE_INFINITY);
-		if (sinceActMs > this.#settings.leaseMs) {
+	/** Releases the lease only if this host has sent nothing under it for a whole term, and otherwise lets it expire: actions of two holders must be at least one term apart. */
+	async #endLease(): Promise<void> {
+		const sinceLastActionMs = Math.min(this.#orders.sinceOrderMs, this.#usage?.sinceActMs ?? Number.POSITIVE_INFINITY);
+		if (sinceLastActionMs > this.#settings.leaseMs) {
 			await this.#lease.release();
 		} else {
 			this.#lease.stop();
@@ -405,15 +405,15 @@
 	get #callSettings(): CallSettings {
 		const {client, random, log} = this.#settings;
 		return {
-			directory: this.#directory, line: this.#line, client, random, log, policy: this.#policy, meter: this.#usage, hedges: this.#hedges,
-			crashers: this.#policy.refusesCrashers ? this.#crashers : undefined,
+			directory: this.#directory, line: this.#endpointQueue, client, random, log, policy: this.#policy, meter: this.#usage, hedges: this.#hedges,
+			crashers: this.#policy.refusesCrashers ? this.#poisonRequests : undefined,
 		};
 	}
 
-	/** Texts that must have one version are finished before the weights change; others go on under the new ones. */
-	#chooseMode(service: string): LoadMode {
+	/** Lets endpoints finish their generations before a weight load if a route of the service requires a single version for each generation; otherwise these continue under the new weights. */
+	#chooseLoadMode(service: string): LoadMode {
 		const routes = this.#catalog.deployment?.routes ?? [];
-		const hasSingle = routes.some(({isSingleVersion, targets}) => isSingleVersion && targets.some(target => target.service === service));
-		return hasSingle ? 'finish-first' : 'continue';
+		const needsSingleVersion = routes.some(({isSingleVersion, targets}) => isSingleVersion && targets.some(target => target.service === service));
+		return needsSingleVersion ? 'finish-first' : 'continue';
 	}
 }
--- a/packages/gateway/src/host-links.ts
+++ b/packages/gateway/src/host-links.ts
@@ -1,44 +1,44 @@
 /**
- * Links of this host to the homes of slots that it needs at present.
+ * Links of this host to the coordinators of contended slots.
  *
- * Load pattern: for some seconds of each step a host asks a dozen homes about slots several hundred times a second in all, then none. Nobody can keep
- * links to all hosts at the size designed for, and a link that must be opened first is of no use to a request; so links are opened when
- * slots become contended, kept while they are used, and bounded in number.
+ * Load pattern: for some seconds of each step a host sends several hundred slot demands a second to a dozen coordinators, then none. At the designed
+ * system size no host can keep links to all others, and opening a link takes too long for a waiting request; so links are opened when
+ * slots become contended, kept while they are used, and limited in number.
  */
 import {
 	LinkClient, type LinkKeys, type Message,
 } from '@wasabiusher/link';
 import type {Log, Random} from '@wasabiusher/shared';
 
-/** Most links at a time: the homes of all endpoints that one host fills in a step. */
+/** Maximum number of links: the coordinators of all endpoints that one host uses in a step. */
 const maxLinks = 32;
 
-/** Time after which a link that is not used is closed, in milliseconds: the time from one step of a trainer to its next. */
-const idleMs = 10_000;
+/** Time after which an unused link is closed, in milliseconds: the time between two steps of a trainer. */
+const idleTimeoutMs = 10_000;
 
-/** Shorter than the default: a home that is frozen must not be taken for one that answers. */
-const linkLimits = {heartbeatMs: 1000, missedHeartbeats: 2, handshakeMs: 1000};
+/** Shorter than the defaults, so that a frozen coordinator is detected quickly. */
+const heartbeatLimits = {heartbeatMs: 1000, missedHeartbeats: 2, handshakeMs: 1000};
 
 export type HostLinksSettings = {
 	/** Name of this host. */
 	host: string;
 	random: Random;
 	log: Log;
-	/** The key that hosts prove to each other; undefined until it is known. */
+	/** Returns the key by which hosts authenticate to each other; undefined until it is known. */
 	findKey(): string | undefined;
 	onMessage(message: Message): void;
-	/** Called when a link has come up. */
+	/** Called when a link comes up. */
 	onUp(): void;
 };
 
-/** Time for a link to come up before it counts as lost, in milliseconds: hosts are milliseconds away, and requests wait for it. */
-const openMs = 150;
+/** Time for a link to come up before it counts as down, in milliseconds. Requests wait for it, and round trips between hosts take milliseconds. */
+const connectTimeoutMs = 150;
 
-type OpenLink = {client: LinkClient; usedAt: number; /** When it was opened, or went down. */ downAt: number};
+type OpenLink = {client: LinkClient; usedAt: number; /** Time at which it was opened or last went down. */ downAt: number};
 
 /** Links by address. */
 export class HostLinks {
-	/** Links opened, messages sent, and links that were not opened since there were too many. */
+	/** Links opened, messages sent, and links not opened because of the limit, a missing key or a closed object. */
 	readonly counts = {opened: 0, sent: 0, unopened: 0};
 	readonly #settings: HostLinksSettings;
 	readonly #links = new Map<string, OpenLink>();
@@ -53,17 +53,17 @@
 		return this.#links.size;
 	}
 
-	/** Whether a link is up or may be in a moment: it is not lost, and can be opened. */
+	/** Whether a link to the address is up, is being opened, or can be opened. */
 	isUsable(address: string): boolean {
 		const link = this.#links.get(address);
 		if (!link) {
 			return this.#links.size < maxLinks && this.#settings.findKey() !== undefined;
 		}
 
-		return link.client.isUp || performance.now() - link.downAt < openMs;
+		return link.client.isUp || performance.now() - link.downAt < connectTimeoutMs;
 	}
 
-	/** Sends a message; false if the link is not up, which is then being opened. */
+	/** Sends a message. Returns false if the link is not up; a missing link is then opened. */
 	send(address: string, message: Message): boolean {
 		const link = this.#links.get(address) ?? this.#open(address);
 		if (!link) {
@@ -76,18 +76,18 @@
 		return isSent;
 	}
 
-	/** Closes links that are not used; to be called now and then. */
+	/** Closes idle links. To be called periodically. */
 	sweep(): void {
 		const now = performance.now();
 		for (const [address, {client, usedAt}] of this.#links) {
-			if (now - usedAt > idleMs) {
+			if (now - usedAt > idleTimeoutMs) {
 				client.close();
 				this.#links.delete(address);
 			}
 		}
 	}
 
-	/** Ends all links. */
+	/** Closes all links and opens no more. */
 	close(): void {
 		this.#isClosed = true;
 		for (const {client} of this.#links.values()) {
@@ -110,7 +110,7 @@
 		const keys: LinkKeys = [key];
 		let wasUp = false;
 		const client = new LinkClient({
-			address, identity: {name: host, keys}, random, limits: linkLimits, onMessage,
+			address, identity: {name: host, keys}, random, limits: heartbeatLimits, onMessage,
 			onUp() {
 				wasUp = true;
 				onUp();
--- a/packages/gateway/src/peer-links.ts
+++ b/packages/gateway/src/peer-links.ts
@@ -1,8 +1,8 @@
 /**
- * Links to other hosts that make calls to the store for this one while the store does not serve it.
+ * Links to other hosts that relay calls to the store while the store does not serve this host.
  *
- * Links are opened only then, to two hosts at a time; at the size designed for nobody can keep links to all. A host that can't
- * help says so at once, and is left for another.
+ * Links are opened only on demand, to two hosts at a time; at the designed system size no host can keep links to all others. A host that can't
+ * relay a call answers so at once, and is replaced by another.
  */
 import {randomUUID} from 'node:crypto';
 import {PlatformError} from '@wasabiusher/backends';
@@ -11,41 +11,41 @@
 } from '@wasabiusher/link';
 import {RepeatedFailures, type Log, type Random} from '@wasabiusher/shared';
 
-/** Hosts that are asked at a time: one may be as lost as this one. */
+/** Hosts that are linked at a time: one of them may be cut off from the store as well. */
 const maxLinks = 2;
 
-/** Time for a link to come up before another host is tried, in milliseconds; hosts are milliseconds away. */
-const openMs = 500;
+/** Time for a link to come up before another host is tried, in milliseconds; round trips between hosts take milliseconds. */
+const connectTimeoutMs = 500;
 
 /**
- * Least time between two rounds of opening links, in milliseconds; doubled with each round up to the longest. Where the store turns a third of
- * the hosts away, one of the first few others can help; while it serves nobody all hosts look for help.
+ * Minimum time between two rounds of opening links, in milliseconds, doubled with each round up to the maximum. If the store refuses a third of
+ * the hosts, one of the first few others can relay; if it serves no host, all hosts search for a relay.
  */
-const firstRoundMs = 200;
-const longestRoundMs = 1000;
+const minRoundIntervalMs = 200;
+const maxRoundIntervalMs = 1000;
 
-/** Longest wait for an answer beyond what the store was asked to wait, in milliseconds: that of a slow store. */
-const answerMs = 1500;
+/** Longest wait for an answer beyond the wait requested of the store, in milliseconds; allows for a slow store. */
+const answerTimeoutMs = 1500;
 
-/** Time for which a host that could not help is not asked, in milliseconds. */
-const restMs = 1000;
+/** Time for which a host that could not relay a call gets no further calls, in milliseconds. */
+const backoffMs = 1000;
 
 export type PeerLinksSettings = {
 	/** Name of this host. */
 	host: string;
 	random: Random;
 	log: Log;
-	/** Addresses of hosts that may be alive, `ip:port`. */
+	/** Returns the addresses of hosts that may be alive, `ip:port`. */
 	listPeers(): string[];
-	/** The key that hosts prove to each other; undefined until it is known. */
+	/** Returns the key by which hosts authenticate to each other; undefined until it is known. */
 	findKey(): string | undefined;
 };
 
 type PendingCall = {timer: NodeJS.Timeout; resolve(answer: StoreAnswer): void};
 
-/** One link and the calls that wait for its answers. */
+/** One link and the calls in flight on it. */
 class PeerLink {
-	restsUntil = Number.NEGATIVE_INFINITY;
+	backoffUntil = Number.NEGATIVE_INFINITY;
 	readonly address: string;
 	readonly openedAt = performance.now();
 	readonly #client: LinkClient;
@@ -58,35 +58,35 @@
 			identity: {name: host, keys},
 			random,
 			onUp() {
-				// Calls look for links that are up.
+				// Each call looks for a link that is up.
 			},
 			onDown: () => {
-				this.#failAll('the link was lost');
+				this.#failAll('the link went down');
 			},
 			onMessage: message => {
-				this.#take(message);
+				this.#handleMessage(message);
 			},
 		});
 	}
 
 	get isUsable(): boolean {
-		return this.#client.isUp && performance.now() >= this.restsUntil;
+		return this.#client.isUp && performance.now() >= this.backoffUntil;
 	}
 
-	/** Whether it is not up though it had the time. */
+	/** Whether the link has not come up in time. */
 	get hasFailed(): boolean {
-		return !this.#client.isUp && performance.now() - this.openedAt > openMs;
+		return !this.#client.isUp && performance.now() - this.openedAt > connectTimeoutMs;
 	}
 
 	async call(work: StoreWork, waitMs: number): Promise<StoreAnswer> {
 		const call = randomUUID();
 		return new Promise<StoreAnswer>(resolve => {
 			const timer = setTimeout(() => {
-				this.#settle(call, {outcome: 'failed', code: 'unknown', reason: `${this.address} has not answered`});
-			}, waitMs + answerMs);
+				this.#settle(call, {outcome: 'failed', code: 'unknown', reason: `${this.address} did not answer in time`});
+			}, waitMs + answerTimeoutMs);
 			this.#pending.set(call, {resolve, timer});
 			if (!this.#client.send({kind: 'store-call', call, work})) {
-				this.#settle(call, {outcome: 'failed', code: 'unavailable', reason: `${this.address} is not linked`});
+				this.#settle(call, {outcome: 'failed', code: 'unavailable', reason: `the link to ${this.address} is not up`});
 			}
 		});
 	}
@@ -96,7 +96,7 @@
 		this.#failAll('the link was closed');
 	}
 
-	#take(message: Message): void {
+	#handleMessage(message: Message): void {
 		if (message.kind === 'store-answer') {
 			this.#settle(message.call, message.answer);
 		}
@@ -111,13 +111,13 @@
 		this.#pending.delete(call);
 		clearTimeout(pending.timer);
 		if (answer.outcome === 'failed' && answer.code === 'unavailable') {
-			this.restsUntil = performance.now() + restMs;
+			this.backoffUntil = performance.now() + backoffMs;
 		}
 
 		pending.resolve(answer);
 	}
 
-	/** What was sent may have been done. */
+	/** Fails all calls in flight. Their outcome is unknown, since the store may have executed them. */
 	#failAll(reason: string): void {
 		for (const call of this.#pending.keys()) {
 			this.#settle(call, {outcome: 'failed', code: 'unknown', reason});
@@ -125,38 +125,38 @@
 	}
 }
 
-/** The links of this host. */
+/** The relay links of this host. */
 export class PeerLinks {
 	readonly #settings: PeerLinksSettings;
 	#links: PeerLink[] = [];
-	#roundAt = Number.NEGATIVE_INFINITY;
-	#roundMs = firstRoundMs;
-	/** Each host that is asked is one more sign that the store does not serve this one. */
-	readonly #asked: RepeatedFailures;
+	#lastRoundAt = Number.NEGATIVE_INFINITY;
+	#roundIntervalMs = minRoundIntervalMs;
+	/** Collapses the log lines of link attempts; each attempt is a further sign that the store does not serve this host. */
+	readonly #linkAttempts: RepeatedFailures;
 
 	constructor(settings: PeerLinksSettings) {
 		this.#settings = settings;
-		this.#asked = new RepeatedFailures({log: settings.log, event: 'peer_asked', overEvent: 'peers_left'});
+		this.#linkAttempts = new RepeatedFailures({log: settings.log, event: 'peer_asked', overEvent: 'peers_left'});
 	}
 
-	/** Whether a call can be made now. */
+	/** Whether a link is up that can relay a call now. */
 	get isUsable(): boolean {
 		return this.#links.some(({isUsable}) => isUsable);
 	}
 
-	/** Opens links as far as they are missing; to be called while the store does not serve this host. */
+	/** Opens links up to the maximum and replaces failed ones. To be called while the store does not serve this host. */
 	open(): void {
 		const {listPeers, findKey, random} = this.#settings;
 		const key = findKey();
 		const now = performance.now();
-		if (key === undefined || now - this.#roundAt < this.#roundMs) {
+		if (key === undefined || now - this.#lastRoundAt < this.#roundIntervalMs) {
 			return;
 		}
 
-		const isFirst = !Number.isFinite(this.#roundAt);
-		this.#roundMs = isFirst ? firstRoundMs : Math.min(longestRoundMs, 2 * this.#roundMs);
-		this.#roundAt = now;
-		for (const link of this.#links.filter(({hasFailed, restsUntil}) => hasFailed || now < restsUntil)) {
+		const isFirstRound = !Number.isFinite(this.#lastRoundAt);
+		this.#roundIntervalMs = isFirstRound ? minRoundIntervalMs : Math.min(maxRoundIntervalMs, 2 * this.#roundIntervalMs);
+		this.#lastRoundAt = now;
+		for (const link of this.#links.filter(({hasFailed, backoffUntil: restsUntil}) => hasFailed || now < restsUntil)) {
 			this.#close(link);
 		}
 
@@ -164,27 +164,27 @@
 		const free = listPeers().filter(address => !linked.has(address));
 		while (this.#links.length < maxLinks && free.length > 0) {
 			const [address] = free.splice(Math.floor(random.next() * free.length), 1);
-			this.#asked.record({peer: address});
+			this.#linkAttempts.record({peer: address});
 			this.#links.push(new PeerLink(address!, this.#settings, [key]));
 		}
 	}
 
-	/** Ends all links. */
+	/** Closes all links. */
 	close(): void {
 		for (const link of this.#links) {
 			link.close();
 		}
 
 		this.#links = [];
-		this.#asked.recover();
-		this.#roundAt = Number.NEGATIVE_INFINITY;
+		this.#linkAttempts.recover();
+		this.#lastRoundAt = Number.NEGATIVE_INFINITY;
 	}
 
-	/** Has a call to the store made by another host; throws `PlatformError` if there is none. */
+	/** Relays a store call through another host and returns its answer. Throws `PlatformError` `unavailable` if no link is up. */
 	async call(work: StoreWork, waitMs = 0): Promise<StoreAnswer> {
 		const link = this.#links.find(({isUsable}) => isUsable);
 		if (!link) {
-			throw new PlatformError('unavailable', 'no other host is linked; nothing was sent');
+			throw new PlatformError('unavailable', 'no link to another host is up; the call was not sent');
 		}
 
 		return link.call(work, waitMs);
--- a/packages/gateway/src/peer-server.ts
+++ b/packages/gateway/src/peer-server.ts
@@ -1,5 +1,5 @@
 /**
- * Makes calls to the store for hosts that the store does not serve at present.
+ * Relays calls to the store for hosts that the store does not serve at present, and receives slot demands of other hosts.
  */
 import {randomUUID} from 'node:crypto';
 import type {Server} from 'node:http';
@@ -8,37 +8,37 @@
 } from '@wasabiusher/link';
 import type {Log} from '@wasabiusher/shared';
 import type {SlotDemand} from '@wasabiusher/slots';
-import type {StoreGate} from './store-gate.js';
-import {doStoreWork} from './store-work.js';
+import type {StoreCircuitBreaker} from './store-circuit-breaker.js';
+import {executeStoreWork} from './store-work.js';
 
-/** Most calls of one host at a time: its followers and some dozen writes of batches. */
-const maxCalls = 64;
+/** Maximum calls in flight for one host: the polls of its table followers and some dozens of batch writes. */
+const maxPendingCalls = 64;
 
 export type PeerServerSettings = {
 	/** Name of this host. */
 	host: string;
-	/** This host's own way to the store; it never asks yet another host. */
-	gate: StoreGate;
+	/** This host's direct connection to the store; relayed calls are never relayed again. */
+	breaker: StoreCircuitBreaker;
 	log: Log;
-	/** Answers demands for slots; undefined if they are not shared. */
-	sharing?: {takeDemand(link: Link, demand: SlotDemand): void; forget(link: Link): void};
-	/** The key that hosts prove to each other; undefined until it is known. */
+	/** Handles slot demands; undefined if slots are not shared. */
+	slotSharing?: {handleDemand(link: Link, demand: SlotDemand): void; removeLink(link: Link): void};
+	/** Returns the key by which hosts authenticate to each other; undefined until it is known. */
 	findKey(): string | undefined;
 };
 
-/** Accepts links of other hosts. */
+/** Accepts links from other hosts. */
 export class PeerServer {
 	readonly #settings: PeerServerSettings;
 	readonly #links: LinkServer;
 
-	/** @param server - the HTTP server on which links come in; its owner listens and closes it */
+	/** @param server - HTTP server that receives the links; its owner starts and closes it */
 	constructor(server: Server, settings: PeerServerSettings) {
 		this.#settings = settings;
 		const {host, log, findKey} = settings;
 		this.#links = new LinkServer(server, {
-			// Without a key of its own nobody can prove anything to this host.
+			// Until this host knows the key, a random one rejects every link.
 			identity: {name: host, keys: (): LinkKeys => [findKey() ?? randomUUID()]},
-			onLink: link => this.#listen(link),
+			onLink: link => this.#createLinkListener(link),
 			onReject(error) {
 				log.info('peer_rejected', {reason: error.message});
 			},
@@ -49,38 +49,38 @@
 		this.#links.close();
 	}
 
-	#listen(link: Link) {
-		let open = 0;
+	#createLinkListener(link: Link) {
+		let pendingCalls = 0;
 		return {
 			onMessage: (message: Message) => {
 				if (message.kind === 'slot-demand') {
-					this.#settings.sharing?.takeDemand(link, message.demand);
+					this.#settings.slotSharing?.handleDemand(link, message.demand);
 				}
 
 				if (message.kind !== 'store-call') {
 					return;
 				}
 
-				open += 1;
-				void this.#answer(link, message, open).finally(() => {
-					open -= 1;
+				pendingCalls += 1;
+				void this.#answer(link, message, pendingCalls).finally(() => {
+					pendingCalls -= 1;
 				});
 			},
 			onClose: () => {
-				this.#settings.sharing?.forget(link);
-				// Calls under way end by their own limits; nobody is left to be told.
+				this.#settings.slotSharing?.removeLink(link);
+				// Calls in flight end by their own timeouts; their answers are dropped.
 			},
 		};
 	}
 
-	async #answer(link: Link, {call, work}: Extract<Message, {kind: 'store-call'}>, open: number): Promise<void> {
-		const {gate} = this.#settings;
-		if (open > maxCalls || gate.isLost) {
-			const reason = gate.isLost ? 'the store does not serve this host either' : 'too many calls at a time';
-			link.send({kind: 'store-answer', call, answer: {outcome: 'failed', code: gate.isLost ? 'unavailable' : 'limited', reason}});
+	async #answer(link: Link, {call, work}: Extract<Message, {kind: 'store-call'}>, pendingCalls: number): Promise<void> {
+		const {breaker} = this.#settings;
+		if (pendingCalls > maxPendingCalls || breaker.isTripped) {
+			const reason = breaker.isTripped ? 'the store does not serve this host either' : 'too many calls in flight for one host';
+			link.send({kind: 'store-answer', call, answer: {outcome: 'failed', code: breaker.isTripped ? 'unavailable' : 'limited', reason}});
 			return;
 		}
 
-		link.send({kind: 'store-answer', call, answer: await doStoreWork(gate, work)});
+		link.send({kind: 'store-answer', call, answer: await executeStoreWork(breaker, work)});
 	}
 }
--- a/packages/gateway/src/crashers.ts
+++ b/packages/gateway/src/poison-requests.ts
@@ -1,9 +1,9 @@
 /**
- * Refuses requests that have crashed three endpoints, on all hosts.
+ * Quarantines poison requests, which have crashed three endpoints, on all hosts.
  *
- * Load pattern: a request crashes each endpoint that begins to run it, and its caller sends it again through any host. Each host sees a part of
- * the crashes, so each writes what it saw into rows of its own, which all hosts follow and put together; they outlive the hosts.
- * One answer of an endpoint, at any host, clears a request of all crashes so far.
+ * Load pattern: a request crashes each endpoint that starts it, and its caller retries it through any host. Each host observes only some of
+ * the crashes, so each writes its observations to its own rows; all hosts follow and merge these rows, which outlive the hosts.
+ * One answer of an endpoint at any host clears a request of all earlier crashes.
  */
 import {createHash} from 'node:crypto';
 import type {RowChange, RowStore} from '@wasabiusher/backends';
@@ -12,43 +12,43 @@
 import {decodeCrashRow, encodeCrashRow} from '@wasabiusher/record';
 import {describeError, type Log} from '@wasabiusher/shared';
 
-/** Part of the table of hosts in which the rows lie. */
-export const crasherPart = 'crashers';
+/** Part of the host table that holds the crash rows. */
+export const poisonRequestPart = 'crashers';
 
-/** Crashes after which a request is refused. */
+/** Number of crashes after which a request is quarantined. */
 const crashesToQuarantine = 3;
 
-/** How long a suspect is remembered, and a crasher refused at first, in milliseconds: callers send again within that, and an innocent one is soon free. */
+/** Time for which a suspect request is remembered, and first quarantine term, in milliseconds: long enough for retries of callers, and short for a request that is quarantined wrongly. */
 const suspicionMs = 60_000;
 const firstTermMs = 60_000;
 
-/** Longest time after which a refused caller is told to come back, in milliseconds. */
-const longestRetryMs = 5000;
+/** Upper bound of the retry delay that a refused caller gets, in milliseconds. */
+const maxRetryAfterMs = 5000;
 
-/** Most rows removed at a time; a transaction of the store holds a hundred. */
-const sweptRows = 100;
+/** Maximum number of rows removed at a time; a store transaction holds at most 100. */
+const maxSweptRows = 100;
 
-export type CrashersSettings = {
+export type PoisonRequestsSettings = {
 	rows: RowStore;
 	table: string;
 	host: string;
 	directory: EndpointDirectory;
 	log: Log;
-	/** The store's clock, in milliseconds. */
+	/** Returns the store's clock, in milliseconds. */
 	readStoreMs(): number;
 };
 
-/** The requests that crash endpoints, as all hosts have seen them. */
-export class Crashers implements CrashWatch {
-	/** Endpoints that were seen to crash with requests in flight, and requests that were refused for it. */
+/** Poison requests as observed by all hosts. */
+export class PoisonRequests implements CrashWatch {
+	/** Crashes of endpoints that had requests in flight, and refused requests. */
 	readonly counts = {crashesSeen: 0, crashersRefused: 0};
-	readonly #settings: CrashersSettings;
+	readonly #settings: PoisonRequestsSettings;
 	readonly #guard = new PoisonGuard({crashesToQuarantine, suspicionMs, firstTermMs});
 	readonly #evidence = new CrashEvidence();
-	/** When each row counts for nothing any more, by its key. */
-	readonly #untilMs = new Map<string, number>();
+	/** Expiry time of each row on the store's clock in milliseconds, by row key. */
+	readonly #expiryMs = new Map<string, number>();
 
-	constructor(settings: CrashersSettings) {
+	constructor(settings: PoisonRequestsSettings) {
 		this.#settings = settings;
 	}
 
@@ -57,17 +57,17 @@
 			return undefined;
 		}
 
-		const verdict = this.#guard.judge(findFingerprint(request), performance.now());
+		const verdict = this.#guard.judge(computeFingerprint(request), performance.now());
 		if (verdict.kind !== 'quarantined') {
 			return undefined;
 		}
 
 		this.counts.crashersRefused += 1;
-		return Math.min(longestRetryMs, verdict.retryAfterMs);
+		return Math.min(maxRetryAfterMs, verdict.retryAfterMs);
 	}
 
 	noteBroken(endpoint: string, request: CallerRequest): void {
-		this.#evidence.noteBroken(endpoint, findFingerprint(request), performance.now());
+		this.#evidence.noteBroken(endpoint, computeFingerprint(request), performance.now());
 	}
 
 	noteDown(endpoint: string): void {
@@ -81,7 +81,7 @@
 		const incarnation = String(directory.get(endpoint)?.bornMs ?? '');
 		this.#guard.recordCrash({endpoint, incarnation, fingerprints}, performance.now());
 		log.info('endpoint_crashed', {endpoint, inFlight: fingerprints.length});
-		void this.#tell(fingerprints);
+		void this.#publish(fingerprints);
 	}
 
 	noteFinished(request: CallerRequest): void {
@@ -89,23 +89,23 @@
 			return;
 		}
 
-		const fingerprint = findFingerprint(request);
+		const fingerprint = computeFingerprint(request);
 		if (this.#guard.isSuspect(fingerprint)) {
 			this.#guard.recordFinished(fingerprint);
-			void this.#tell([fingerprint]);
+			void this.#publish([fingerprint]);
 		}
 	}
 
-	/** Takes over a row that a host has written. Throws on one that is none. */
+	/** Applies a crash row of any host. Throws if the row is malformed. */
 	apply({key, value}: RowChange): void {
 		if (value === undefined) {
-			this.#untilMs.delete(key);
+			this.#expiryMs.delete(key);
 			return;
 		}
 
 		const {crashes, cleared, untilMs, terms} = decodeCrashRow(value);
 		const remainingMs = Math.max(0, Math.min(firstTermMs * (2 ** terms), untilMs - this.#settings.readStoreMs()));
-		this.#untilMs.set(key, untilMs);
+		this.#expiryMs.set(key, untilMs);
 		if (remainingMs > 0) {
 			this.#guard.merge([{
 				fingerprint: key.split('/', 1)[0]!, crashes, cleared, remainingMs, terms,
@@ -113,30 +113,30 @@
 		}
 	}
 
-	/** Removes rows that count for nothing any more; one host does it for all. Never rejects. */
+	/** Removes expired rows of all hosts. One host needs to do it. Never rejects. */
 	async sweep(): Promise<void> {
 		const {rows, table, log} = this.#settings;
 		const storeMs = this.#settings.readStoreMs();
-		const old = [...this.#untilMs].filter(([, untilMs]) => untilMs < storeMs).slice(0, sweptRows);
-		if (old.length === 0) {
+		const expired = [...this.#expiryMs].filter(([, untilMs]) => untilMs < storeMs).slice(0, maxSweptRows);
+		if (expired.length === 0) {
 			return;
 		}
 
 		try {
-			await rows.commit({conditions: [], puts: [], deletes: old.map(([key]) => ({table, part: crasherPart, key}))});
+			await rows.commit({conditions: [], puts: [], deletes: expired.map(([key]) => ({table, part: poisonRequestPart, key}))});
 		} catch (error) {
 			log.info('crashers_not_swept', {reason: describeError(error)});
 		}
 	}
 
-	async #tell(fingerprints: readonly string[]): Promise<void> {
+	async #publish(fingerprints: readonly string[]): Promise<void> {
 		const {rows, table, host, log, readStoreMs} = this.#settings;
 		const suspicions = this.#guard.list(performance.now()).filter(({fingerprint}) => fingerprints.includes(fingerprint));
 		try {
 			await rows.commit({
 				conditions: [],
 				puts: suspicions.map(({fingerprint, crashes, cleared, remainingMs, terms}) => ({
-					table, part: crasherPart, key: `${fingerprint}/${host}`, value: encodeCrashRow({
+					table, part: poisonRequestPart, key: `${fingerprint}/${host}`, value: encodeCrashRow({
 						crashes: [...crashes], cleared: [...cleared], untilMs: readStoreMs() + remainingMs, terms,
 					}),
 				})),
@@ -148,7 +148,7 @@
 	}
 }
 
-/** Names a request by what its caller sends again: path, customer and body. */
-function findFingerprint({path, customer = '', body}: CallerRequest): string {
+/** Hashes the parts of a request that stay the same when its caller retries it: path, customer and body. */
+function computeFingerprint({path, customer = '', body}: CallerRequest): string {
 	return createHash('sha256').update(`${customer}\n${path}\n`).update(body).digest('base64url').slice(0, 32);
 }
--- a/packages/gateway/src/routed-store.ts
+++ b/packages/gateway/src/routed-store.ts
@@ -1,90 +1,90 @@
 /**
- * The store by the way that is open: directly, or by way of another host while the store does not serve this one.
+ * Sends store calls directly, or through another host while the store does not serve this one.
  *
- * Load pattern: a host is cut off from the store, or turned away by it, while callers, trainers and engines reach it. Alone it can
- * take no configuration and commit no result, its batches are taken over after 1.7 s and begun from kept texts, and
- * every submission it is given must be tried again elsewhere. Writes are made under the same conditions whoever
- * sends them, so the other host decides nothing.
+ * Load pattern: a host is cut off from the store, or refused by it, while callers, trainers and engines still reach it. Without a relay it can
+ * read no configuration and commit no result, other hosts take over its batches after 1.7 s and restart them from retained text, and
+ * every submission to it must be retried at another host. A relayed write carries the same conditions as a direct one,
+ * so the relaying host makes no decisions.
  */
 import type {
 	ChangePage, CommitReceipt, RowPage, RowRange, RowStore, RowTransaction,
 } from '@wasabiusher/backends';
 import {describeError, type Log} from '@wasabiusher/shared';
 import type {PeerLinks} from './peer-links.js';
-import {probeRange, type StoreGate} from './store-gate.js';
+import {probeRange, type StoreCircuitBreaker} from './store-circuit-breaker.js';
 import {expectOutcome} from './store-work.js';
 
-/** Time between tries of the direct way while it is lost, in milliseconds, and that by which it grows with each host: a silent store must bear the tries of all. */
-const probeMs = 150;
-const probeMsPerHost = 0.4;
+/** Interval between probes of the direct connection while it is down, in milliseconds, and its increase per host, since an unresponsive store must bear the probes of all hosts. */
+const probeIntervalMs = 150;
+const probeIntervalMsPerHost = 0.4;
 
-/** Tries on their way at a time: one that was sent while the store was silent is left without an answer for its whole time, and must not hold up the next. */
-const maxProbes = 10;
+/** Most probes in flight. A probe that was sent to an unresponsive store waits for its whole timeout and must not delay the next one. */
+const maxPendingProbes = 10;
 
-/** Time for which links stay open once the direct way is open again, in milliseconds: the longest call that is under way on them. */
-const lingerMs = 3500;
+/** Time for which links stay open after the direct connection has recovered, in milliseconds: the longest duration of a relayed call. */
+const linkCloseDelayMs = 3500;
 
 export type RoutedStoreSettings = {
-	gate: StoreGate;
+	breaker: StoreCircuitBreaker;
 	peers: PeerLinks;
 	log: Log;
-	/** Whether other hosts are asked at all. */
+	/** Whether calls may be relayed through other hosts; true by default. */
 	isRelaying?: boolean;
-	/** Hosts that ask the same store, as far as known. */
+	/** Returns the number of known hosts that use the same store; 1 if not given. */
 	countHosts?(): number;
 };
 
-/** Passes calls on by the way that is open. */
+/** A row store that relays calls through other hosts while the direct connection is down. */
 export class RoutedStore implements RowStore {
 	readonly #settings: RoutedStoreSettings;
-	#probe: NodeJS.Timeout | undefined;
-	#linger: NodeJS.Timeout | undefined;
-	/** Tries that are not answered yet. */
-	#probes = 0;
+	#probeTimer: NodeJS.Timeout | undefined;
+	#closeTimer: NodeJS.Timeout | undefined;
+	/** Probes in flight. */
+	#pendingProbes = 0;
 
 	constructor(settings: RoutedStoreSettings) {
 		this.#settings = settings;
 	}
 
-	/** Whether calls go by way of another host at present. */
+	/** Whether calls are relayed through another host at present. */
 	get isRelayed(): boolean {
-		const {gate, peers} = this.#settings;
-		return gate.isLost && peers.isUsable;
+		const {breaker, peers} = this.#settings;
+		return breaker.isTripped && peers.isUsable;
 	}
 
-	/** The way by which calls go at present. */
-	get way(): 'direct' | 'relayed' | 'lost' {
-		if (!this.#settings.gate.isLost) {
+	/** How calls reach the store at present. */
+	get mode(): 'direct' | 'relayed' | 'lost' {
+		if (!this.#settings.breaker.isTripped) {
 			return 'direct';
 		}
 
 		return this.isRelayed ? 'relayed' : 'lost';
 	}
 
-	/** The store for those who ask on while no way is open, so that the first answer is noticed. */
+	/** A view whose calls are sent even while neither connection is available, so that the first answer of the store is noticed. */
 	get probing(): RowStore {
-		const direct = this.#settings.gate.probing;
+		const direct = this.#settings.breaker.probing;
 		return {
 			commit: async transaction => this.commit(transaction),
-			read: async range => this.#seekWay() ? this.read(range) : direct.read(range),
+			read: async range => this.#prepareRelay() ? this.read(range) : direct.read(range),
 			follow: async (table, after, waitMs) => this.follow(table, after, waitMs),
 		};
 	}
 
 	async commit(transaction: RowTransaction): Promise<CommitReceipt> {
-		const {gate, peers} = this.#settings;
-		return this.#seekWay() ? expectOutcome(await peers.call({op: 'commit', ...transaction}), 'committed') : gate.commit(transaction);
+		const {breaker, peers} = this.#settings;
+		return this.#prepareRelay() ? expectOutcome(await peers.call({op: 'commit', ...transaction}), 'committed') : breaker.commit(transaction);
 	}
 
 	async read(range: RowRange): Promise<RowPage> {
-		const {gate, peers} = this.#settings;
-		return this.#seekWay() ? expectOutcome(await peers.call({op: 'read', range}), 'page') : gate.read(range);
+		const {breaker, peers} = this.#settings;
+		return this.#prepareRelay() ? expectOutcome(await peers.call({op: 'read', range}), 'page') : breaker.read(range);
 	}
 
 	async follow(table: string, after: number, waitMs: number): Promise<ChangePage> {
-		const {gate, peers} = this.#settings;
-		if (!this.#seekWay()) {
-			return gate.follow(table, after, waitMs);
+		const {breaker, peers} = this.#settings;
+		if (!this.#prepareRelay()) {
+			return breaker.follow(table, after, waitMs);
 		}
 
 		const {changes, ...page} = expectOutcome(await peers.call({
@@ -93,23 +93,23 @@
 		return {...page, changes: changes.map(change => ({...change, value: change.value}))};
 	}
 
-	/** Tries the direct way no more and ends all links. */
+	/** Stops probing the direct connection and closes all links. */
 	stop(): void {
 		this.#stopProbing();
-		clearTimeout(this.#linger);
+		clearTimeout(this.#closeTimer);
 		this.#settings.peers.close();
 	}
 
 	#stopProbing(): void {
-		clearInterval(this.#probe);
-		this.#probe = undefined;
+		clearInterval(this.#probeTimer);
+		this.#probeTimer = undefined;
 	}
 
-	/** Looks for help if the direct way is lost; returns whether another host is to be asked. */
-	#seekWay(): boolean {
-		const {gate, peers, isRelaying = true} = this.#settings;
-		if (gate.isLost && isRelaying) {
-			clearTimeout(this.#linger);
+	/** Starts probing and opens links if the direct connection is down. Returns whether the call is to be relayed. */
+	#prepareRelay(): boolean {
+		const {breaker, peers, isRelaying = true} = this.#settings;
+		if (breaker.isTripped && isRelaying) {
+			clearTimeout(this.#closeTimer);
 			this.#startProbing();
 			peers.open();
 		}
@@ -118,39 +118,39 @@
 	}
 
 	#startProbing(): void {
-		if (this.#probe !== undefined) {
+		if (this.#probeTimer !== undefined) {
 			return;
 		}
 
 		this.#settings.log.warn('store_way_lost', {});
-		this.#probe = setInterval(() => {
-			void this.#try();
-		}, Math.max(probeMs, probeMsPerHost * (this.#settings.countHosts?.() ?? 1)));
+		this.#probeTimer = setInterval(() => {
+			void this.#probeDirect();
+		}, Math.max(probeIntervalMs, probeIntervalMsPerHost * (this.#settings.countHosts?.() ?? 1)));
 	}
 
-	async #try(): Promise<void> {
-		const {gate, peers, log} = this.#settings;
-		if (this.#probes >= maxProbes) {
+	async #probeDirect(): Promise<void> {
+		const {breaker, peers, log} = this.#settings;
+		if (this.#pendingProbes >= maxPendingProbes) {
 			return;
 		}
 
-		this.#probes += 1;
+		this.#pendingProbes += 1;
 		try {
-			await gate.probing.read(probeRange);
-			if (this.#probe === undefined) {
+			await breaker.probing.read(probeRange);
+			if (this.#probeTimer === undefined) {
 				return;
 			}
 
 			this.#stopProbing();
-			// A write that is under way on a link would be of unknown fate if it were ended now.
-			this.#linger = setTimeout(() => {
+			// Closing a link now would leave the outcome of a write in flight on it unknown.
+			this.#closeTimer = setTimeout(() => {
 				peers.close();
-			}, lingerMs);
+			}, linkCloseDelayMs);
 			log.info('store_way_regained', {});
 		} catch (error) {
 			log.debug('store_way_closed', {reason: describeError(error)});
 		} finally {
-			this.#probes -= 1;
+			this.#pendingProbes -= 1;
 		}
 	}
 }
--- a/packages/gateway/src/slot-sharing.ts
+++ b/packages/gateway/src/slot-sharing.ts
@@ -1,5 +1,5 @@
 /**
- * Shares the slots of endpoints with other hosts: asks the homes of those that are contended, and answers for those whose home this host is.
+ * Shares the slots of endpoints among hosts: requests allocations for contended endpoints from their coordinator hosts, and allocates the slots of the endpoints that this host coordinates.
  */
 import type {LiveHost} from '@wasabiusher/batches';
 import type {EndpointDirectory, SlotLimits} from '@wasabiusher/direct';
@@ -10,8 +10,8 @@
 } from '@wasabiusher/slots';
 import {HostLinks} from './host-links.js';
 
-/** How often homes are chosen anew, in milliseconds: hosts that are silent or late are noticed within a second. */
-const chooseMs = 500;
+/** Interval at which the candidates for coordinators are refreshed, in milliseconds; hosts that are unresponsive or slow are detected within 1 s. */
+const refreshIntervalMs = 500;
 
 export type SlotSharingSettings = {
 	/** Name of this host. */
@@ -20,148 +20,148 @@
 	random: Random;
 	log: Log;
 	listHosts(): LiveHost[];
-	/** The key that hosts prove to each other; undefined until it is known. */
+	/** Returns the key by which hosts authenticate to each other; undefined until it is known. */
 	findKey(): string | undefined;
 };
 
-/** Counts since the start. */
+/** Counts since the start, by the names under which they are logged and exported. */
 export type SharingCounts = Readonly<Record<
 	'demands' | 'rations' | 'lateRations' | 'unanswered' | 'demandsTaken' | 'lateDemands' | 'rationsGiven' | 'linksOpened' | 'messagesSent' | 'linksRefused', number
 >>;
 
-/** Both sides of rations on one host. */
+/** Client and coordinator of slot allocations on one host. */
 export class SlotSharing {
-	readonly desk: RationDesk;
-	readonly home: RationHome;
+	readonly client: RationDesk;
+	readonly coordinator: RationHome;
 	readonly links: HostLinks;
 	readonly #settings: SlotSharingSettings;
 	readonly #limits: SlotLimits;
-	/** Links of other hosts to this one, by their names; the newest of each. */
-	readonly #askers = new Map<string, Link>();
-	readonly #homes = new Map<string, HomeCandidate | undefined>();
+	/** Newest link from each other host to this one, by host name. */
+	readonly #inboundLinks = new Map<string, Link>();
+	readonly #coordinators = new Map<string, HomeCandidate | undefined>();
 	#candidates: HomeCandidate[] = [];
-	#chosenAt = Number.NEGATIVE_INFINITY;
+	#refreshedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(settings: SlotSharingSettings) {
 		this.#settings = settings;
 		const {host, random, log, findKey, directory} = settings;
 		this.links = new HostLinks({
 			host, random, log, findKey, onMessage: message => {
-				this.#take(message);
+				this.#handleMessage(message);
 			},
 			onUp: () => {
-				this.desk.tick();
+				this.client.tick();
 			},
 		});
-		this.home = new RationHome(rations => {
-			this.#tell(rations);
+		this.coordinator = new RationHome(allocations => {
+			this.#sendAllocations(allocations);
 		});
-		this.desk = new RationDesk({
-			send: demand => this.#send(demand),
+		this.client = new RationDesk({
+			send: demand => this.#sendDemand(demand),
 			isUsable: endpoint => this.#isUsable(endpoint),
 			findFreePart: endpoint => this.#limits.findFreePart(endpoint),
 		});
-		this.#limits = directory.shareSlots(this.desk);
+		this.#limits = directory.shareSlots(this.client);
 	}
 
-	/** What was asked, answered and ignored on both sides, and messages and links; each only grows. */
+	/** Demands, allocations and ignored messages of both sides, and messages and links; each only grows. */
 	get counts(): SharingCounts {
-		const {demands, rations, lateRations, unanswered} = this.desk.counts;
-		const {demands: demandsTaken, lateDemands, rations: rationsGiven} = this.home.counts;
+		const {demands, rations, lateRations, unanswered} = this.client.counts;
+		const {demands: demandsTaken, lateDemands, rations: rationsGiven} = this.coordinator.counts;
 		const {opened: linksOpened, sent: messagesSent, unopened: linksRefused} = this.links.counts;
 		return {
 			demands, rations, lateRations, unanswered, demandsTaken, lateDemands, rationsGiven, linksOpened, messagesSent, linksRefused,
 		};
 	}
 
-	/** Takes a demand of another host that has come on its link. */
-	takeDemand(link: Link, demand: SlotDemand): void {
-		this.#askers.set(link.peer, link);
-		this.#demand(link.peer, demand);
+	/** Handles a demand that another host has sent on its link. */
+	handleDemand(link: Link, demand: SlotDemand): void {
+		this.#inboundLinks.set(link.peer, link);
+		this.#allocate(link.peer, demand);
 	}
 
-	/** Forgets a link of another host; what was given to it ends by itself. */
-	forget(link: Link): void {
-		if (this.#askers.get(link.peer) === link) {
-			this.#askers.delete(link.peer);
+	/** Removes a closed link of another host. The slots allocated to that host expire by themselves. */
+	removeLink(link: Link): void {
+		if (this.#inboundLinks.get(link.peer) === link) {
+			this.#inboundLinks.delete(link.peer);
 		}
 	}
 
-	/** Looks after homes, demands and links; to be called each 50 ms or so. */
+	/** Updates coordinators, demands and links. To be called about every 50 ms. */
 	tick(): void {
 		const now = performance.now();
-		if (now - this.#chosenAt >= chooseMs) {
-			this.#chosenAt = now;
-			this.#learnHosts();
-			this.home.sweep();
+		if (now - this.#refreshedAt >= refreshIntervalMs) {
+			this.#refreshedAt = now;
+			this.#refreshCandidates();
+			this.coordinator.sweep();
 			this.links.sweep();
 		}
 
 		this.#limits.tick();
-		this.desk.tick();
+		this.client.tick();
 	}
 
 	close(): void {
 		this.links.close();
 	}
 
-	#learnHosts(): void {
-		const live = this.#settings.listHosts();
-		const candidates = listHomeCandidates(live);
+	#refreshCandidates(): void {
+		const hosts = this.#settings.listHosts();
+		const candidates = listHomeCandidates(hosts);
 		const isSame = candidates.length === this.#candidates.length && candidates.every(({host, address}, i) => host === this.#candidates[i]!.host && address === this.#candidates[i]!.address);
 		if (!isSame) {
 			this.#candidates = candidates;
-			this.#homes.clear();
+			this.#coordinators.clear();
 		}
 	}
 
-	#findHome(endpoint: string): HomeCandidate | undefined {
-		if (!this.#homes.has(endpoint)) {
-			this.#homes.set(endpoint, chooseHome(endpoint, this.#settings.directory.get(endpoint)?.dataCentre ?? '', this.#candidates));
+	#findCoordinator(endpoint: string): HomeCandidate | undefined {
+		if (!this.#coordinators.has(endpoint)) {
+			this.#coordinators.set(endpoint, chooseHome(endpoint, this.#settings.directory.get(endpoint)?.dataCentre ?? '', this.#candidates));
 		}
 
-		return this.#homes.get(endpoint);
+		return this.#coordinators.get(endpoint);
 	}
 
 	#isUsable(endpoint: string): boolean {
-		const home = this.#findHome(endpoint);
-		return home !== undefined && (home.host === this.#settings.host || this.links.isUsable(home.address));
+		const coordinator = this.#findCoordinator(endpoint);
+		return coordinator !== undefined && (coordinator.host === this.#settings.host || this.links.isUsable(coordinator.address));
 	}
 
-	#send(demand: SlotDemand): boolean {
-		const home = this.#findHome(demand.endpoint);
-		if (!home) {
+	#sendDemand(demand: SlotDemand): boolean {
+		const coordinator = this.#findCoordinator(demand.endpoint);
+		if (!coordinator) {
 			return false;
 		}
 
-		if (home.host === this.#settings.host) {
-			this.#demand(home.host, demand);
+		if (coordinator.host === this.#settings.host) {
+			this.#allocate(coordinator.host, demand);
 			return true;
 		}
 
-		return this.links.send(home.address, {kind: 'slot-demand', demand});
+		return this.links.send(coordinator.address, {kind: 'slot-demand', demand});
 	}
 
-	/** A demand for an endpoint that is not known here gets no answer; who asks then goes by what it sees itself. */
-	#demand(host: string, demand: SlotDemand): void {
+	/** Ignores a demand for an endpoint that is unknown here. Without an answer, the requesting host limits itself by its own observations. */
+	#allocate(host: string, demand: SlotDemand): void {
 		const slots = this.#settings.directory.get(demand.endpoint)?.slots;
 		if (slots !== undefined) {
-			this.home.take(host, demand, slots);
+			this.coordinator.take(host, demand, slots);
 		}
 	}
 
-	#take(message: Message): void {
+	#handleMessage(message: Message): void {
 		if (message.kind === 'slot-ration') {
-			this.desk.take(message.ration);
+			this.client.take(message.ration);
 		}
 	}
 
-	#tell(rations: readonly RationFor[]): void {
-		for (const {host, ration} of rations) {
+	#sendAllocations(allocations: readonly RationFor[]): void {
+		for (const {host, ration} of allocations) {
 			if (host === this.#settings.host) {
-				this.desk.take(ration);
+				this.client.take(ration);
 			} else {
-				this.#askers.get(host)?.send({kind: 'slot-ration', ration});
+				this.#inboundLinks.get(host)?.send({kind: 'slot-ration', ration});
 			}
 		}
 	}
--- a/packages/gateway/src/store-work.ts
+++ b/packages/gateway/src/store-work.ts
@@ -1,33 +1,33 @@
 /**
- * Calls to the store in the form in which one host makes them for another, and what came of them.
+ * Executes relayed store calls and converts their outcomes to answers and errors.
  */
 import {PlatformError, type RowStore} from '@wasabiusher/backends';
 import type {StoreAnswer, StoreWork} from '@wasabiusher/link';
 import {describeError} from '@wasabiusher/shared';
 
-const workers: Readonly<Record<StoreWork['op'], (store: RowStore, work: StoreWork) => Promise<StoreAnswer>>> = {
+const executors: Readonly<Record<StoreWork['op'], (store: RowStore, work: StoreWork) => Promise<StoreAnswer>>> = {
 	async commit(store, work) {
-		return isWork(work, 'commit') ? {outcome: 'committed', ...await store.commit(work)} : mismatch;
+		return isWork(work, 'commit') ? {outcome: 'committed', ...await store.commit(work)} : mismatchAnswer;
 	},
 	async read(store, work) {
-		return isWork(work, 'read') ? {outcome: 'page', ...await store.read(work.range)} : mismatch;
+		return isWork(work, 'read') ? {outcome: 'page', ...await store.read(work.range)} : mismatchAnswer;
 	},
 	async follow(store, work) {
-		return isWork(work, 'follow') ? {outcome: 'changes', ...await store.follow(work.table, work.after, work.waitMs)} : mismatch;
+		return isWork(work, 'follow') ? {outcome: 'changes', ...await store.follow(work.table, work.after, work.waitMs)} : mismatchAnswer;
 	},
 };
 
-/** The table pairs each kind of work with its worker, so this is never given. */
-const mismatch: StoreAnswer = {outcome: 'failed', code: 'refused', reason: 'the work is not of the kind that it names'};
+/** Never returned: `executors` pairs each operation with its own function. */
+const mismatchAnswer: StoreAnswer = {outcome: 'failed', code: 'refused', reason: 'the operation and the content of the relayed call do not match'};
 
 function isWork<Op extends StoreWork['op']>(work: StoreWork, op: Op): work is Extract<StoreWork, {op: Op}> {
 	return work.op === op;
 }
 
-/** Makes a call at a store; never rejects, since a failure is an answer too. */
-export async function doStoreWork(store: RowStore, work: StoreWork): Promise<StoreAnswer> {
+/** Executes a relayed call at the store. Never rejects; a failure becomes a `failed` answer. */
+export async function executeStoreWork(store: RowStore, work: StoreWork): Promise<StoreAnswer> {
 	try {
-		return await workers[work.op](store, work);
+		return await executors[work.op](store, work);
 	} catch (error) {
 		const code = error instanceof PlatformError && error.code !== 'fenced' ? error.code : 'unknown';
 		return {outcome: 'failed', code, reason: describeError(error)};
@@ -38,13 +38,13 @@
 	return answer.outcome === outcome;
 }
 
-/** The answer of the kind that the work asks for; throws the `PlatformError` that it tells otherwise. */
+/** Returns the answer if it has the expected outcome; throws the `PlatformError` that it reports otherwise. */
 export function expectOutcome<Outcome extends StoreAnswer['outcome']>(answer: StoreAnswer, outcome: Outcome): Extract<StoreAnswer, {outcome: Outcome}> {
 	if (isOutcome(answer, outcome)) {
 		return answer;
 	}
 
 	throw isOutcome(answer, 'failed')
-		? new PlatformError(answer.code, `by way of another host: ${answer.reason}`)
-		: new PlatformError('unknown', `by way of another host: expected ${outcome}, got ${answer.outcome}`);
+		? new PlatformError(answer.code, `call relayed through another host failed: ${answer.reason}`)
+		: new PlatformError('unknown', `call relayed through another host: expected the answer ${outcome}, got ${answer.outcome}`);
 }
