--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -70,7 +70,7 @@
 const orderTimeoutMs = 1000;
 const reportTimeoutMs = 1500;
 
-/** The parts of the service that run on one host, and the access to them for HTTP front ends. */
+/** The rollout service on one host, without its HTTP servers for callers and operators. */
 export class Gateway {
 	readonly batches: Batches;
 	readonly #settings: GatewaySettings;
@@ -269,7 +269,8 @@
 	get counts(): EventCounts {
 		const queueCounts = this.#endpointQueue?.counts.map(({kind, answer, count}): [string, number] => [`line-${kind}-${answer}`, count]) ?? [];
 		return {
-			...this.batches.counts, ...this.#loadAnnouncements.counts, ...this.#directory.loads.counts, ...this.#directory.counts, ...this.#poisonRequests.counts, ...this.#slotSharing?.counts, ...Object.fromEntries(queueCounts),
+			...this.batches.counts, ...this.#loadAnnouncements.counts, ...this.#directory.loads.counts, ...this.#directory.counts,
+			...this.#poisonRequests.counts, ...this.#slotSharing?.counts, ...Object.fromEntries(queueCounts),
 		};
 	}
 
--- a/packages/gateway/src/host-links.ts
+++ b/packages/gateway/src/host-links.ts
@@ -38,7 +38,7 @@
 
 /** Links by address. */
 export class HostLinks {
-	/** Links opened, messages sent, and links not opened because of the limit, a missing key or a closed object. */
+	/** Links opened, messages sent, and links not opened because of the limit, a missing key or `close`. */
 	readonly counts = {opened: 0, sent: 0, unopened: 0};
 	readonly #settings: HostLinksSettings;
 	readonly #links = new Map<string, OpenLink>();
--- a/packages/gateway/src/peer-links.ts
+++ b/packages/gateway/src/peer-links.ts
@@ -156,7 +156,7 @@
 		const isFirstRound = !Number.isFinite(this.#lastRoundAt);
 		this.#roundIntervalMs = isFirstRound ? minRoundIntervalMs : Math.min(maxRoundIntervalMs, 2 * this.#roundIntervalMs);
 		this.#lastRoundAt = now;
-		for (const link of this.#links.filter(({hasFailed, backoffUntil: restsUntil}) => hasFailed || now < restsUntil)) {
+		for (const link of this.#links.filter(({hasFailed, backoffUntil}) => hasFailed || now < backoffUntil)) {
 			this.#close(link);
 		}
 
--- a/packages/gateway/src/routed-store.ts
+++ b/packages/gateway/src/routed-store.ts
@@ -61,7 +61,7 @@
 		return this.isRelayed ? 'relayed' : 'lost';
 	}
 
-	/** A view whose calls are sent even while neither connection is available, so that the first answer of the store is noticed. */
+	/** A view whose reads and polls are sent even while the store is reachable neither directly nor through a relay, so that its first answer is noticed. */
 	get probing(): RowStore {
 		const direct = this.#settings.breaker.probing;
 		return {
--- a/packages/gateway/src/slot-sharing.ts
+++ b/packages/gateway/src/slot-sharing.ts
@@ -10,7 +10,7 @@
 } from '@wasabiusher/slots';
 import {HostLinks} from './host-links.js';
 
-/** Interval at which the candidates for coordinators are refreshed, in milliseconds; hosts that are unresponsive or slow are detected within 1 s. */
+/** Interval at which the candidates for coordinators are refreshed, in milliseconds; hosts that are unresponsive or have a high event-loop lag are detected within 1 s. */
 const refreshIntervalMs = 500;
 
 export type SlotSharingSettings = {
--- a/packages/gateway/src/store-circuit-breaker.ts
+++ b/packages/gateway/src/store-circuit-breaker.ts
@@ -113,7 +113,7 @@
 	/**
 	 * Waits for changes, also while the breaker is tripped. An unanswered wait alone does not trip the breaker: a store that loses its history leaves
 	 * the waits of all hosts unanswered while it serves every other call, and all hosts would refuse readers and trainers
-	 * at the same time. A probe must stay unanswered too.
+	 * at the same time. The breaker trips only if a probe stays unanswered too.
 	 */
 	async follow(table: string, after: number, waitMs: number): Promise<ChangePage> {
 		const startedAt = performance.now();
--- a/packages/gateway/src/store-recovery.ts
+++ b/packages/gateway/src/store-recovery.ts
@@ -31,9 +31,9 @@
 
 	/** Starts the sequence. To be called at the first answer after an outage. */
 	start(): void {
-		const {followers, sendHeartbeat: beat, releaseWrites: release, countHosts, chance} = this.#settings;
-		void beat();
-		release();
+		const {followers, sendHeartbeat, releaseWrites, countHosts, chance} = this.#settings;
+		void sendHeartbeat();
+		releaseWrites();
 		const delayMs = chance() * spreadMsPerHost * countHosts();
 		const timer = setTimeout(() => {
 			this.#timers.delete(timer);
