--- a/packages/slots/__tests__/divide-slots.spec.ts
+++ b/packages/slots/__tests__/divide-slots.spec.ts
@@ -3,7 +3,7 @@
 import {createWant} from './fixtures.js';
 
 describe('divideSlots', () => {
-	it('gives to the most urgent class first, within it to what is due first, whichever host has it', () => {
+	it('serves the most urgent class first, and the earliest due within it, whichever host has it', () => {
 		const claims = [
 			{host: 'a', wants: [createWant(2, {urgency: 2, dueInMs: 10})], waitedMs: 0},
 			{host: 'b', wants: [createWant(1, {dueInMs: 500}), createWant(1, {dueInMs: 900})], waitedMs: 0},
@@ -12,7 +12,7 @@
 		expect([1, 2, 3].map(free => Object.fromEntries(divideSlots(free, claims, 0)))).to.deep.equal([{b: 1}, {b: 1, c: 1}, {b: 2, c: 1}]);
 	});
 
-	it('gives all that is free where it is wanted, and no more than is wanted', () => {
+	it('grants all free slots while they are wanted, and no more than are wanted', () => {
 		const claims = [{host: 'a', wants: [createWant(5)], waitedMs: 0}, {host: 'b', wants: [createWant(1)], waitedMs: 0}];
 		expect(Object.fromEntries(divideSlots(3, claims, 0))).to.deep.equal({a: 3});
 		expect(Object.fromEntries(divideSlots(4, claims, 0))).to.deep.equal({a: 3, b: 1});
@@ -20,7 +20,7 @@
 		expect([...divideSlots(3, [], 0)]).to.deep.equal([]);
 	});
 
-	it('leaves nobody with less than a quarter as much as all get on average', () => {
+	it('grants each host at least a quarter of the average', () => {
 		const waits = new Map([['a', 0], ['b', 0], ['late', 0]]);
 		const counts = new Map<string, number>();
 		for (let turn = 0; turn < 400; turn += 1) {
@@ -46,7 +46,7 @@
 	const endpoints = Array.from({length: 2000}, (_, i) => `i${i}`);
 	const choose = (candidates: typeof hosts, dataCentre = 'd') => endpoints.map(endpoint => chooseHome(endpoint, dataCentre, candidates)?.host);
 
-	it('stays in the data centre, gives more to hosts with more cores, and moves only what a lost host had', () => {
+	it('prefers the data centre of the endpoint, gives more endpoints to hosts with more cores, and moves only those of a lost host', () => {
 		const all = choose(hosts);
 		expect(new Set(all)).to.deep.equal(new Set(['h0', 'h1', 'h2', 'h3']));
 		const count = all.filter(host => host === 'h0').length;
@@ -56,7 +56,7 @@
 		expect(new Set(choose(hosts, 'nowhere')).size).to.equal(6);
 	});
 
-	it('leaves out hosts that are late, silent while they work, or can not be reached', () => {
+	it('excludes hosts that lag, are silent while they work, or have no address', () => {
 		const [first] = hosts;
 		const candidates = [first!, {...first!, lateMs: 60}, {...first!, silentMs: 2000}, {...first!, address: ''}, {...first!, silentMs: 60_000, isResting: true}];
 		expect(listHomeCandidates(candidates)).to.deep.equal([candidates[0], candidates[4]]);
--- a/packages/slots/__tests__/fixtures.ts
+++ b/packages/slots/__tests__/fixtures.ts
@@ -1,46 +1,47 @@
-/** Six hosts with one home between them and messages that take a while. */
+/** Hosts with one coordinator and message latency between them. */
 import {
 	RationDesk, RationHome, type RationFor, type SlotDemand, type Want,
 } from '../src/index.js';
 
-/** Time of a message between two hosts, in milliseconds. */
-export const wayMs = 1;
+/** Latency of a message between two hosts, in milliseconds. */
+export const messageDelayMs = 1;
 
-export type DeskSwitches = {
-	/** The home is linked. */
+export type LinkSwitches = {
+	/** The coordinator is linked. */
 	isLinked: boolean;
-	/** Demands get through, and rations do. */
+	/** Demands are delivered. */
 	passesDemands: boolean;
+	/** Allocations are delivered. */
 	passesRations: boolean;
 };
 
-/** A home and the desks that ask it about endpoints with six slots. */
+/** Creates a coordinator of endpoints with six slots and a client for each host. */
 export function createHosts(names: readonly string[]) {
-	const switches: DeskSwitches = {isLinked: true, passesDemands: true, passesRations: true};
-	const desks = new Map<string, RationDesk>();
-	const tell = (rations: readonly RationFor[]) => {
-		for (const {host, ration} of rations) {
+	const switches: LinkSwitches = {isLinked: true, passesDemands: true, passesRations: true};
+	const clients = new Map<string, RationDesk>();
+	const send = (allocations: readonly RationFor[]) => {
+		for (const {host, ration} of allocations) {
 			setTimeout(() => {
 				if (switches.passesRations) {
-					desks.get(host)?.take(ration);
+					clients.get(host)?.take(ration);
 				}
-			}, wayMs);
+			}, messageDelayMs);
 		}
 	};
 
-	const home = new RationHome(tell);
+	const coordinator = new RationHome(send);
 	const deliver = (host: string, demand: SlotDemand) => {
-		home.take(host, demand, 6);
+		coordinator.take(host, demand, 6);
 	};
 
 	for (const name of names) {
-		desks.set(name, new RationDesk({
+		clients.set(name, new RationDesk({
 			send(demand) {
 				setTimeout(() => {
 					if (switches.passesDemands) {
 						deliver(name, demand);
 					}
-				}, wayMs);
+				}, messageDelayMs);
 				return switches.isLinked;
 			},
 			isUsable: () => switches.isLinked,
@@ -48,7 +49,7 @@
 		}));
 	}
 
-	return {home, desks, switches};
+	return {coordinator, clients, switches};
 }
 
 export function createWant(count: number, changes: Partial<Want> = {}): Want {
--- a/packages/slots/__tests__/host-line.spec.ts
+++ b/packages/slots/__tests__/host-queue.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import {HostLine, type SlotAnswer, type Waiter} from '../src/index.js';
 
-/** A service with some slots, each of which takes the same time. */
+/** Need for a slot of an endpoint in a pool. */
 type Need = {pool: string; lane: string};
 
 describe('HostLine', () => {
@@ -11,7 +11,7 @@
 	let takes: number;
 	let blocked: string;
 	let notify: () => void;
-	let line: HostLine<Need, string>;
+	let queue: HostLine<Need, string>;
 	let ids: number;
 
 	beforeEach(() => {
@@ -27,7 +27,7 @@
 			}
 		};
 
-		line = new HostLine({
+		queue = new HostLine({
 			namePool: ({pool}) => pool,
 			nameLane: ({lane}) => lane,
 			adapt: ({need}) => need,
@@ -62,10 +62,10 @@
 		};
 	}
 
-	/** Waits, and notes the answer under a name. */
+	/** Starts waiting and records the answer under a name. */
 	function wait(answers: Record<string, SlotAnswer<string>['kind']>, name: string, changes: Partial<Waiter<Need>> = {}, signal = new AbortController().signal): void {
 		void (async () => {
-			const {kind} = await line.wait(createWaiter(changes), signal);
+			const {kind} = await queue.wait(createWaiter(changes), signal);
 			answers[name] = kind;
 		})();
 	}
@@ -76,12 +76,12 @@
 		await clock.tickAsync(1);
 	}
 
-	it('gives a free slot at once', async () => {
+	it('grants a free slot at once', async () => {
 		free = 1;
-		expect(await line.wait(createWaiter(), new AbortController().signal)).to.deep.equal({kind: 'granted', endpoint: 'e'});
+		expect(await queue.wait(createWaiter(), new AbortController().signal)).to.deep.equal({kind: 'granted', endpoint: 'e'});
 	});
 
-	it('looks once for all that wait alike when something changes, and hands out in order', async () => {
+	it('searches once per eligibility key after a change, and grants in order', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
 		for (let i = 0; i < 1000; i++) {
 			wait(answers, `w${i}`, {urgency: i === 999 ? 0 : 1});
@@ -93,7 +93,7 @@
 		expect([answers, takes - before]).to.deep.equal([{w999: 'granted'}, 2]);
 	});
 
-	it('serves another need while nothing fits the first', async () => {
+	it('serves another need while no endpoint is free for the first', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
 		blocked = 'b';
 		wait(answers, 'first', {need: {pool: 's', lane: 'b'}});
@@ -102,7 +102,7 @@
 		expect(answers).to.deep.equal({second: 'granted'});
 	});
 
-	it('finds what has become free without a word, as when a pause ends', async () => {
+	it('finds a slot that became free without a notification, as at the end of a pause', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
 		wait(answers, 'w');
 		free = 1;
@@ -110,7 +110,7 @@
 		expect(answers).to.deep.equal({w: 'granted'});
 	});
 
-	it('gives up at the deadline and when whoever waits has left, and takes no slot for them', async () => {
+	it('withdraws waiters at their deadline and when they are aborted, and takes no slot for them', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
 		const leave = new AbortController();
 		wait(answers, 'left', {}, leave.signal);
@@ -118,10 +118,10 @@
 		leave.abort();
 		await clock.tickAsync(60);
 		await setFree(2);
-		expect([answers, free, line.size]).to.deep.equal([{left: 'left', expired: 'expired'}, 2, 0]);
+		expect([answers, free, queue.size]).to.deep.equal([{left: 'left', expired: 'expired'}, 2, 0]);
 	});
 
-	it('refuses at once what can not be served in time, with the time to come back, and lets others wait', async () => {
+	it('refuses refusable waiters at once that can not be served by their deadline, and lets others wait', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
 		for (let i = 0; i < 100; i++) {
 			wait(answers, `w${i}`, {isRefusable: true, turn: 'large'});
@@ -136,7 +136,7 @@
 		expect([answers.small, answers.score]).to.deep.equal([undefined, undefined]);
 	});
 
-	it('lets fewer wait as the line is served more slowly', async () => {
+	it('lets fewer waiters in as the queue drains more slowly', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
 		for (let i = 0; i < 100; i++) {
 			wait(answers, `w${i}`, {deadlineAt: performance.now() + 10_000});
@@ -154,16 +154,16 @@
 		expect(answers.refused).to.equal('refused');
 	});
 
-	it('tells who waits, for how long, and what became of the others', async () => {
+	it('lists waiters by flow with the longest wait, and counts answers', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
 		wait(answers, 'a');
 		await clock.tickAsync(10);
 		wait(answers, 'b', {kind: 'text'});
 		await clock.tickAsync(5);
-		expect(line.listTurns()).to.deep.equal([{
+		expect(queue.listTurns()).to.deep.equal([{
 			turn: 'a', urgency: 0, waiting: 2, oldestMs: 15,
 		}]);
 		await setFree(2);
-		expect(line.counts).to.deep.equal([{kind: 'call', answer: 'granted', count: 1}, {kind: 'text', answer: 'granted', count: 1}]);
+		expect(queue.counts).to.deep.equal([{kind: 'call', answer: 'granted', count: 1}, {kind: 'text', answer: 'granted', count: 1}]);
 	});
 });
--- a/packages/slots/src/line-counts.ts
+++ b/packages/slots/src/answer-counts.ts
@@ -1,8 +1,8 @@
-/** Counts the answers of a line, for metrics. */
-import type {AnswerCount} from './slot-line.js';
+/** Counts the answers of a wait queue, for metrics. */
+import type {AnswerCount} from './slot-queue.js';
 
-/** The counts. */
-export class LineCounts {
+/** Number of answers by kind of work and of answer. */
+export class AnswerCounts {
 	readonly #counts = new Map<string, AnswerCount>();
 
 	record(kind: AnswerCount['kind'], answer: AnswerCount['answer']): void {
--- a/packages/slots/src/class-queue.ts
+++ b/packages/slots/src/class-queue.ts
@@ -1,38 +1,38 @@
 /**
- * What waits in one class of urgency: customers and trainers take turns by the work that they have had.
+ * Queue of one urgency class: start-time fair queueing among flows (customers and trainers) by the work that they were served.
  *
- * Load pattern: one customer sends half of all, the others a hundredth each. In order of arrival all wait behind it; with equal turns it would be
- * served a fortieth as often as the others. Each gets its part by weight, and besides a part by what it asks for.
+ * Load pattern: one customer sends half of all requests, the others a hundredth each. In order of arrival all wait behind it; with equal shares its requests
+ * would be served a fortieth as often as the others'. Each flow gets a share by weight, and in addition a share by its demand.
  */
 import {IndexedHeap, TurnClock, type HeapItem} from '@wasabiusher/decisions';
-import {AskedShares} from './asked-shares.js';
-import {TurnQueue, type Entry, type Place} from './turn-queue.js';
+import {DemandShares} from './demand-shares.js';
+import {FlowQueue, type QueueEntry, type SchedulingAttributes} from './flow-queue.js';
 
 /**
- * Work that goes by what is asked for, against one unit that goes by weight. With it each turn gets a quarter of what
- * it would if all were served alike, whatever its weight: 0.35 of 1.35.
+ * Work that is shared by demand, per unit of work that is shared by weight. With 0.35 of 1.35 each flow gets at least a quarter of
+ * what equal service of all requests would give it, whatever its weight.
  */
-const askedFactor = 0.35;
+const demandFactor = 0.35;
 
-/** Least work charged, so that jobs that cost nothing still take turns. */
-const leastCost = 1e-3;
+/** Minimum work charged, so that jobs without cost still alternate. */
+const minCost = 1e-3;
 
-/** Entries in time after which one of the same turn that is late goes first. */
-const timelyPerLate = 3;
+/** On-time entries after which a late one of the same flow goes first. */
+const onTimePerLate = 3;
 
-type Turn<Job> = {name: string; start: number; weight: number; timelySince: number; queues: Map<string, LaneQueue<Job>>};
+type Flow<Job> = {name: string; startTag: number; weight: number; onTimeSinceLate: number; queues: Map<string, EligibleEntries<Job>>};
 
-/** One turn's entries in one lane. */
-type LaneQueue<Job> = HeapItem & {turn: Turn<Job>; order: number; entries: TurnQueue<Job>};
+/** Entries of one flow that have the same eligible endpoints. */
+type EligibleEntries<Job> = HeapItem & {flow: Flow<Job>; order: number; entries: FlowQueue<Job>};
 
-/** The entries of one class; each operation takes O(log turns) for each lane of the turn. */
+/** The entries of one class; each operation takes O(log flows) for each eligibility key of the flow. */
 export class ClassQueue<Job> {
-	readonly #turns = new Map<string, Turn<Job>>();
-	/** By lane. */
-	readonly #lanes = new Map<string, IndexedHeap<LaneQueue<Job>>>();
+	readonly #flows = new Map<string, Flow<Job>>();
+	/** By eligibility key. */
+	readonly #heaps = new Map<string, IndexedHeap<EligibleEntries<Job>>>();
 	readonly #clock = new TurnClock();
-	readonly #asked = new AskedShares();
-	#weights = 0;
+	readonly #demandShares = new DemandShares();
+	#totalWeight = 0;
 	#order = 0;
 	#size = 0;
 
@@ -40,113 +40,113 @@
 		return this.#size;
 	}
 
-	/** How many turns wait. */
-	get turnCount(): number {
-		return this.#turns.size;
+	/** Number of flows with waiting entries. */
+	get flowCount(): number {
+		return this.#flows.size;
 	}
 
-	/** How many of a turn wait. */
-	countTurn(name: string): number {
+	/** Number of waiting entries of a flow. */
+	countFlow(name: string): number {
 		let count = 0;
-		for (const {entries} of this.#turns.get(name)?.queues.values() ?? []) {
+		for (const {entries} of this.#flows.get(name)?.queues.values() ?? []) {
 			count += entries.size;
 		}
 
 		return count;
 	}
 
-	add(entry: Entry<Job>): void {
-		const {turn: name, lane, cost} = entry.place;
-		this.#asked.record(name, cost);
-		const turn = this.#turns.get(name) ?? this.#beginTurn(entry.place);
-		const queue = turn.queues.get(lane) ?? this.#beginQueue(turn, lane);
+	add(entry: QueueEntry<Job>): void {
+		const {turn: name, lane: eligibilityKey, cost} = entry.attributes;
+		this.#demandShares.record(name, cost);
+		const flow = this.#flows.get(name) ?? this.#addFlow(entry.attributes);
+		const queue = flow.queues.get(eligibilityKey) ?? this.#addQueue(flow, eligibilityKey);
 		queue.entries.add(entry);
 		this.#size += 1;
 	}
 
-	/** Takes an entry out; its turn is charged only by `charge`. */
-	remove(entry: Entry<Job>): void {
-		const {turn: name, lane} = entry.place;
-		const turn = this.#turns.get(name)!;
-		const queue = turn.queues.get(lane)!;
+	/** Removes an entry; its flow is charged by `charge` alone. */
+	remove(entry: QueueEntry<Job>): void {
+		const {turn: name, lane: eligibilityKey} = entry.attributes;
+		const flow = this.#flows.get(name)!;
+		const queue = flow.queues.get(eligibilityKey)!;
 		queue.entries.remove(entry);
 		this.#size -= 1;
 		if (queue.entries.size === 0) {
-			this.#endQueue(turn, lane, queue);
+			this.#removeQueue(flow, eligibilityKey, queue);
 		}
 	}
 
-	/** Charges the turn of an entry that is served and still waits. */
-	charge({place, isLate}: Entry<Job>): void {
-		const turn = this.#turns.get(place.turn)!;
-		this.#clock.advance(turn.start);
-		turn.start += Math.max(leastCost, place.cost) / ((turn.weight / this.#weights) + (askedFactor * this.#asked.read(turn.name)));
-		turn.timelySince = isLate ? 0 : turn.timelySince + 1;
-		for (const [lane, queue] of turn.queues) {
-			this.#lanes.get(lane)!.update(queue);
+	/** Charges the flow of an entry that is about to be served, before it is removed. */
+	charge({attributes, isLate}: QueueEntry<Job>): void {
+		const flow = this.#flows.get(attributes.turn)!;
+		this.#clock.advance(flow.startTag);
+		flow.startTag += Math.max(minCost, attributes.cost) / ((flow.weight / this.#totalWeight) + (demandFactor * this.#demandShares.read(flow.name)));
+		flow.onTimeSinceLate = isLate ? 0 : flow.onTimeSinceLate + 1;
+		for (const [eligibilityKey, queue] of flow.queues) {
+			this.#heaps.get(eligibilityKey)!.update(queue);
 		}
 	}
 
-	/** The entry whose turn it is among lanes that are not passed over. */
-	findFirst(now: number, isPassedOver: (lane: string) => boolean): Entry<Job> | undefined {
-		let best: Entry<Job> | undefined;
-		let bestStart = Number.POSITIVE_INFINITY;
-		for (const [lane, queues] of this.#lanes) {
-			const first = isPassedOver(lane) ? undefined : queues.first;
-			if (!first || first.turn.start > bestStart) {
+	/** Returns the entry to serve next among those that are not blocked. */
+	findFirst(now: number, isBlocked: (eligibilityKey: string) => boolean): QueueEntry<Job> | undefined {
+		let best: QueueEntry<Job> | undefined;
+		let bestStartTag = Number.POSITIVE_INFINITY;
+		for (const [eligibilityKey, heap] of this.#heaps) {
+			const first = isBlocked(eligibilityKey) ? undefined : heap.first;
+			if (!first || first.flow.startTag > bestStartTag) {
 				continue;
 			}
 
-			const {start, timelySince} = first.turn;
-			const prefersLate = timelySince >= timelyPerLate;
+			const {startTag, onTimeSinceLate} = first.flow;
+			const prefersLate = onTimeSinceLate >= onTimePerLate;
 			const entry = first.entries.findFirst(now, prefersLate)!;
-			if (!best || start < bestStart || isBefore(entry, best, prefersLate)) {
+			if (!best || startTag < bestStartTag || isBefore(entry, best, prefersLate)) {
 				best = entry;
-				bestStart = start;
+				bestStartTag = startTag;
 			}
 		}
 
 		return best;
 	}
 
-	#beginTurn({turn: name, weight}: Place): Turn<Job> {
-		const turn: Turn<Job> = {
-			name, weight, start: this.#clock.enter(name), timelySince: 0, queues: new Map(),
+	#addFlow({turn: name, weight}: SchedulingAttributes): Flow<Job> {
+		const flow: Flow<Job> = {
+			name, weight, startTag: this.#clock.enter(name), onTimeSinceLate: 0, queues: new Map(),
 		};
-		this.#turns.set(name, turn);
-		this.#weights += weight;
-		return turn;
+		this.#flows.set(name, flow);
+		this.#totalWeight += weight;
+		return flow;
 	}
 
-	#beginQueue(turn: Turn<Job>, lane: string): LaneQueue<Job> {
+	#addQueue(flow: Flow<Job>, eligibilityKey: string): EligibleEntries<Job> {
 		this.#order += 1;
-		const queue: LaneQueue<Job> = {
-			turn, order: this.#order, entries: new TurnQueue(), heapIndex: -1,
+		const queue: EligibleEntries<Job> = {
+			flow, order: this.#order, entries: new FlowQueue(), heapIndex: -1,
 		};
-		turn.queues.set(lane, queue);
-		const queues = this.#lanes.get(lane) ?? new IndexedHeap<LaneQueue<Job>>((a, b) => (a.turn.start - b.turn.start || a.order - b.order) < 0);
-		this.#lanes.set(lane, queues);
-		queues.add(queue);
+		flow.queues.set(eligibilityKey, queue);
+		const heap = this.#heaps.get(eligibilityKey) ?? new IndexedHeap<EligibleEntries<Job>>((a, b) => (a.flow.startTag - b.flow.startTag || a.order - b.order) < 0);
+		this.#heaps.set(eligibilityKey, heap);
+		heap.add(queue);
 		return queue;
 	}
 
-	#endQueue(turn: Turn<Job>, lane: string, queue: LaneQueue<Job>): void {
-		const queues = this.#lanes.get(lane)!;
-		queues.remove(queue);
-		turn.queues.delete(lane);
-		if (queues.size === 0) {
-			this.#lanes.delete(lane);
+	#removeQueue(flow: Flow<Job>, eligibilityKey: string, queue: EligibleEntries<Job>): void {
+		const heap = this.#heaps.get(eligibilityKey)!;
+		heap.remove(queue);
+		flow.queues.delete(eligibilityKey);
+		if (heap.size === 0) {
+			this.#heaps.delete(eligibilityKey);
 		}
 
-		if (turn.queues.size === 0) {
-			this.#turns.delete(turn.name);
-			this.#weights = this.#turns.size === 0 ? 0 : this.#weights - turn.weight;
-			this.#clock.leave(turn.name, turn.start);
+		if (flow.queues.size === 0) {
+			this.#flows.delete(flow.name);
+			this.#totalWeight = this.#flows.size === 0 ? 0 : this.#totalWeight - flow.weight;
+			this.#clock.leave(flow.name, flow.startTag);
 		}
 	}
 }
 
-/** Whether an entry goes before another whose turn starts at the same time. */
-function isBefore<Job>(a: Entry<Job>, b: Entry<Job>, prefersLate: boolean): boolean {
-	return a.isLate === b.isLate ? a.place.beginBy < b.place.beginBy : a.isLate === prefersLate;
+/** Whether an entry goes before another whose flow has the same start tag. */
+function isBefore<Job>(a: QueueEntry<Job>, b: QueueEntry<Job>, prefersLate: boolean): boolean {
+	return a.isLate === b.isLate ? a.attributes.beginBy < b.attributes.beginBy : a.isLate === prefersLate;
 }
--- a/packages/slots/src/divide-slots.ts
+++ b/packages/slots/src/divide-slots.ts
@@ -1,76 +1,76 @@
 /**
- * Which hosts get the free slots of one endpoint.
+ * Divides the free slots of one endpoint among hosts.
  *
- * Load pattern: the steps of several trainers begin within tenths of a second, and a dozen hosts want all slots of the same endpoints at once. What is
- * most urgent goes first, by class and then by the time that is left; but a host whose work is never the most urgent must not wait for ever.
+ * Load pattern: the steps of several trainers begin within tenths of a second, and a dozen hosts want all slots of the same endpoints at once. The most
+ * urgent work goes first, by class and then by the time left; but a host whose work is never the most urgent must not starve.
  */
-import type {Want} from './ration.js';
+import type {Want} from './slot-allocation.js';
 
-/** What one host wants beyond what it was given. */
+/** What one host wants beyond the slots that it was allocated. */
 export type SlotClaim = {
 	host: string;
 	/** Most urgent first. */
 	wants: readonly Want[];
-	/** Time since the host last got a slot or began to want one, in milliseconds. */
+	/** Time since the host last got a slot or began to wait for one, in milliseconds. */
 	waitedMs: number;
 };
 
-/** Every so many slots one goes to whoever has waited longest: each gets at least a quarter as much as all on average. */
-export const patientEvery = 4;
+/** One of this many slots goes to the host that has waited longest, so that each host gets at least a quarter of the average. */
+export const fairnessIntervalSlots = 4;
 
-/** A claim with what is left of it: the place of its first want and how many of that are served. */
-type Rest = {claim: SlotClaim; at: number; served: number; lastTurn: number};
+/** A claim with what remains of it: the index of its first unserved want, how many of that are served, and the last slot that it got. */
+type RemainingClaim = {claim: SlotClaim; wantIndex: number; served: number; lastGrantIndex: number};
 
 /**
- * Divides slots, in a time that grows with the slots and hosts and not with what waits.
+ * Divides slots, in time proportional to slots and hosts, independent of the amount of waiting work.
  *
- * @param turn - slots that were divided before; with it one slot at a time comes to the same as many at once
- * @returns slots by host, of hosts that get any; never more than `free` in all, nor more than a host wants
+ * @param dividedBefore - number of slots that were divided before; with it, one slot at a time gives the same result as many at once
+ * @returns slots by host, without hosts that get none; never more than `free` in total, nor more than a host wants
  */
-export function divideSlots(free: number, claims: readonly SlotClaim[], turn: number): Map<string, number> {
-	const gains = new Map<string, number>();
-	const rests: Rest[] = claims.map(claim => ({
-		claim, at: 0, served: 0, lastTurn: -1,
+export function divideSlots(free: number, claims: readonly SlotClaim[], dividedBefore: number): Map<string, number> {
+	const grants = new Map<string, number>();
+	const remainingClaims: RemainingClaim[] = claims.map(claim => ({
+		claim, wantIndex: 0, served: 0, lastGrantIndex: -1,
 	}));
 	for (let i = 0; i < free; i += 1) {
-		const isPatientTurn = (turn + i) % patientEvery === patientEvery - 1;
-		const next = findBest(rests, isPatientTurn ? hasWaitedLonger : isMoreUrgent);
+		const isFairnessSlot = (dividedBefore + i) % fairnessIntervalSlots === fairnessIntervalSlots - 1;
+		const next = findBest(remainingClaims, isFairnessSlot ? hasWaitedLonger : isMoreUrgent);
 		if (!next) {
 			break;
 		}
 
 		const {host, wants} = next.claim;
-		gains.set(host, (gains.get(host) ?? 0) + 1);
+		grants.set(host, (grants.get(host) ?? 0) + 1);
 		next.served += 1;
-		next.lastTurn = i;
-		if (next.served >= wants[next.at]!.count) {
-			next.at += 1;
+		next.lastGrantIndex = i;
+		if (next.served >= wants[next.wantIndex]!.count) {
+			next.wantIndex += 1;
 			next.served = 0;
 		}
 	}
 
-	return gains;
+	return grants;
 }
 
-/** The first in an order of those that want anything more. */
-function findBest(rests: readonly Rest[], isBefore: (a: Rest, b: Rest) => boolean): Rest | undefined {
-	let best: Rest | undefined;
-	for (const rest of rests) {
-		if (rest.at < rest.claim.wants.length && (!best || isBefore(rest, best))) {
-			best = rest;
+/** Returns the first claim, in the given order, that wants more. */
+function findBest(claims: readonly RemainingClaim[], isBefore: (a: RemainingClaim, b: RemainingClaim) => boolean): RemainingClaim | undefined {
+	let best: RemainingClaim | undefined;
+	for (const claim of claims) {
+		if (claim.wantIndex < claim.claim.wants.length && (!best || isBefore(claim, best))) {
+			best = claim;
 		}
 	}
 
 	return best;
 }
 
-function isMoreUrgent(a: Rest, b: Rest): boolean {
-	const first = a.claim.wants[a.at]!;
-	const second = b.claim.wants[b.at]!;
+function isMoreUrgent(a: RemainingClaim, b: RemainingClaim): boolean {
+	const first = a.claim.wants[a.wantIndex]!;
+	const second = b.claim.wants[b.wantIndex]!;
 	return first.urgency === second.urgency ? first.dueInMs < second.dueInMs : first.urgency < second.urgency;
 }
 
-/** Who has just got one has waited least. */
-function hasWaitedLonger(a: Rest, b: Rest): boolean {
-	return a.lastTurn === b.lastTurn ? a.claim.waitedMs > b.claim.waitedMs : a.lastTurn < b.lastTurn;
+/** A host that got a slot in this division has waited less than those that got none. */
+function hasWaitedLonger(a: RemainingClaim, b: RemainingClaim): boolean {
+	return a.lastGrantIndex === b.lastGrantIndex ? a.claim.waitedMs > b.claim.waitedMs : a.lastGrantIndex < b.lastGrantIndex;
 }
--- a/packages/slots/src/index.ts
+++ b/packages/slots/src/index.ts
@@ -1,10 +1,10 @@
 export type * from './waiter.js';
-export type * from './slot-line.js';
-export type * from './ration.js';
-export * from './host-line.js';
-export * from './return-turns.js';
-export * from './wait-order.js';
+export type * from './slot-queue.js';
+export type * from './slot-allocation.js';
+export * from './host-queue.js';
+export * from './recent-refusals.js';
+export * from './fair-priority-queue.js';
 export * from './divide-slots.js';
-export * from './home-choice.js';
-export * from './ration-desk.js';
-export * from './ration-home.js';
+export * from './coordinator-choice.js';
+export * from './allocation-client.js';
+export * from './allocation-coordinator.js';
--- a/packages/slots/src/waiter.ts
+++ b/packages/slots/src/waiter.ts
@@ -1,38 +1,40 @@
 /**
- * What waits for a slot of an endpoint: a caller's request, a text of a step, or the score of a text.
+ * Work that waits for a slot of an endpoint: a caller's request, a generation of a step, or the scoring of a generation.
  */
 
 export type WorkKind = 'call' | 'text' | 'score';
 
-/** One that waits. `Need` says which endpoints fit it. */
+/** One piece of waiting work. `Need` describes the eligible endpoints. */
 export type Waiter<Need> = {
-	/** Names it among all that wait in this process. */
+	/** Unique among all waiters of this process. */
 	id: string;
 	kind: WorkKind;
 	need: Need;
-	/** Class of urgency; 0 goes first. */
+	/** Urgency class; 0 is served first. */
 	urgency: number;
-	/** Whose turn it uses up: a customer, or a trainer. */
+	/** Flow that it is charged to: a customer or a trainer. */
 	turn: string;
-	/** Weight of that turn among others of the same urgency. */
+	/** Weight of that flow among flows of the same urgency. */
 	weight: number;
-	/** When it should be done, on the monotonic clock. */
+	/** When it should be finished, on the monotonic clock. */
 	dueAt: number;
-	/** When it is given up, on the monotonic clock. */
+	/** When it is abandoned, on the monotonic clock. */
 	deadlineAt: number;
-	/** Time that it takes at a usual endpoint, in milliseconds; 0 if nobody knows. */
+	/** Expected duration at a typical endpoint, in milliseconds; 0 if unknown. */
 	workMs: number;
-	/** Goes before others of the same turn that are due at the same time; the least first, 0 by default. */
+	/** Orders waiters of the same flow that are due at the same time; the lowest first, 0 by default. */
 	rank?: number;
-	/** Whether it is refused at once when it can't be served by its deadline; otherwise it waits until then. */
+	/** Whether it is refused at once if it can't be served by its deadline; otherwise it waits until then. */
 	isRefusable?: boolean;
 };
 
 /**
+ * Result of a wait.
+ *
  * - `granted`: a slot of the endpoint is counted as taken
- * - `refused`: it can't be served in its time; nothing has run
- * - `expired`: its deadline has passed while it waited; nothing has run
- * - `left`: whoever waited has left
+ * - `refused`: it can't be served by its deadline; nothing has run
+ * - `expired`: its deadline passed while it waited; nothing has run
+ * - `left`: the waiter was aborted
  */
 export type SlotAnswer<Endpoint>
 	= | {kind: 'granted'; endpoint: Endpoint}
