--- a/packages/batches/__tests__/checkpoints.spec.ts
+++ b/packages/batches/__tests__/checkpoints.spec.ts
@@ -17,7 +17,7 @@
 	let rows: MemoryRowStore;
 	let store: BatchStore;
 	let stored: StoredBatch;
-	/** Events made of each text, and what each event says. */
+	/** Number of events of each text, and the content of every event. */
 	let texts: Map<string, number>;
 	let event: string;
 	let checkpoints: Checkpoints;
@@ -51,7 +51,7 @@
 		clock.uninstall();
 	});
 
-	it('writes texts that have grown, and again only those that have grown since', async () => {
+	it('writes texts that have grown, and later only those that have grown since', async () => {
 		await clock.tickAsync(700);
 		expect(await read()).to.deep.equal({long: 90, short: 8});
 		const {commits} = rows.counts;
@@ -63,7 +63,7 @@
 		expect(await read()).to.deep.equal({long: 90, short: 14});
 	});
 
-	it('writes texts again that a changed row has refused, though they have not grown', async () => {
+	it('writes texts again after a changed row has refused them, even if they have not grown', async () => {
 		await store.write({...record, acceptedMs: 1}, stored.version);
 		await clock.tickAsync(700);
 		expect(await read()).to.deep.equal({});
@@ -71,7 +71,7 @@
 		expect(await read()).to.deep.equal({long: 90, short: 8});
 	});
 
-	it('writes the text first that would cost most, and those later that did not fit', async () => {
+	it('writes the text that would cost most first, and texts that did not fit later', async () => {
 		event = 'x'.repeat(600);
 		texts = new Map([...Array.from({length: 13}, (_, i): [string, number] => [`t${i}`, 80]), ['long', 95]]);
 		await clock.tickAsync(700);
@@ -82,7 +82,7 @@
 		expect(Object.keys(await read())).to.have.length(14);
 	});
 
-	it('sends nothing while a write is not answered, and keeps to its allowance', async () => {
+	it('sends nothing while a write is unanswered, and stays within its budget', async () => {
 		rows.switches.delayMs = 2000;
 		await clock.tickAsync(2100);
 		expect(rows.counts.commits).to.equal(2);
--- a/packages/batches/__tests__/commit-scheduler.spec.ts
+++ b/packages/batches/__tests__/commit-scheduler.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import {CommitScheduler, type CommitOutcome, type Committer} from '../src/commit-scheduler.js';
 
-/** A list with some results that wait; each transaction takes 10 ms and writes one. */
+/** A list with `left` pending results; each transaction takes 10 ms and writes one of them. */
 class FakeList implements Committer {
 	readonly batch: string;
 	readonly startedAt: number[] = [];
@@ -31,26 +31,26 @@
 	}
 }
 
-describe('CommitDesk', () => {
+describe('CommitScheduler', () => {
 	let clock: Clock;
 	let isOpen: boolean;
-	let desk: CommitScheduler;
+	let scheduler: CommitScheduler;
 
 	beforeEach(() => {
 		clock = install();
 		isOpen = true;
-		desk = new CommitScheduler({isOpen: () => isOpen, chance: () => 0.5});
+		scheduler = new CommitScheduler({isOpen: () => isOpen, chance: () => 0.5});
 	});
 
 	afterEach(() => {
-		desk.stop();
+		scheduler.stop();
 		clock.uninstall();
 	});
 
-	it('writes all that waits, with one transaction of a batch and four of all at a time', async () => {
+	it('commits all pending results, with at most one concurrent transaction of a batch and four in total', async () => {
 		const lists = ['1', '1', '2', '3', '4', '5'].map(batch => new FakeList(batch, 2));
 		for (const list of lists) {
-			desk.schedule(list);
+			scheduler.schedule(list);
 		}
 
 		await clock.tickAsync(15);
@@ -62,34 +62,34 @@
 		expect(overlaps).to.equal(false);
 	});
 
-	it('tries nothing while the store serves nobody, and writes in the moment in which it answers', async () => {
+	it('sends nothing while the store is unreachable, and commits immediately when released', async () => {
 		const list = new FakeList('1', 1);
 		isOpen = false;
-		desk.schedule(list);
+		scheduler.schedule(list);
 		await clock.tickAsync(7030);
 		expect(list.startedAt).to.deep.equal([]);
 		isOpen = true;
-		desk.release();
+		scheduler.release();
 		expect(list.startedAt).to.deep.equal([7030]);
 	});
 
-	it('finds a way that has opened without being told', async () => {
+	it('notices without a release that the store is reachable again', async () => {
 		const list = new FakeList('1', 1);
 		isOpen = false;
-		desk.schedule(list);
+		scheduler.schedule(list);
 		await clock.tickAsync(1000);
 		isOpen = true;
 		await clock.tickAsync(50);
 		expect(list.startedAt).to.have.length(1);
 	});
 
-	it('asks a store that refuses beyond its rates less and less often, and soon again once it takes something', async () => {
+	it('backs off from a store that refuses because of its rate limit, and soon recovers once it accepts writes', async () => {
 		const list = new FakeList('1', 1);
 		list.outcome = 'limited';
-		desk.schedule(list);
+		scheduler.schedule(list);
 		await clock.tickAsync(2000);
 		expect(list.startedAt.length).to.be.within(4, 6);
-		expect(desk.counts).to.deep.equal({
+		expect(scheduler.counts).to.deep.equal({
 			written: 0, raced: 0, limited: list.startedAt.length, failed: 0,
 		});
 		list.outcome = 'written';
@@ -97,10 +97,10 @@
 		expect(list.left).to.equal(0);
 	});
 
-	it('forgets a list that stops', async () => {
+	it('does not commit a list that was removed', async () => {
 		const list = new FakeList('1', 1);
-		desk.schedule(list);
-		desk.remove(list);
+		scheduler.schedule(list);
+		scheduler.remove(list);
 		await clock.tickAsync(100);
 		expect(list.startedAt).to.deep.equal([]);
 	});
--- a/packages/batches/__tests__/customers.spec.ts
+++ b/packages/batches/__tests__/customers.spec.ts
@@ -1,17 +1,17 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
 import {
-	createDeployment, createSubmission, createWorld, tickUntilDone, type World,
+	createDeployment, createSubmission, createCluster, tickUntilDone, type Cluster,
 } from './fixtures.js';
 
 describe('Batches of customers', () => {
 	let clock: Clock;
-	let world: World;
+	let cluster: Cluster;
 
 	beforeEach(() => {
 		clock = install();
-		world = createWorld();
-		for (const {switches} of world.serving.endpoints.values()) {
+		cluster = createCluster();
+		for (const {switches} of cluster.serving.endpoints.values()) {
 			switches.eventMs = 40;
 			switches.events = 50;
 		}
@@ -22,11 +22,11 @@
 	});
 
 	function listRuns(customer: string) {
-		return [...world.serving.endpoints.values()].flatMap(({runs}) => runs).filter(run => run.customer === customer);
+		return [...cluster.serving.endpoints.values()].flatMap(({runs}) => runs).filter(run => run.customer === customer);
 	}
 
-	it('leave nothing to another customer\'s samples of the same names, and what they have to their own', async () => {
-		const {batches, kill} = world.createProcess('a');
+	it('retain texts for samples of their own customer, but not for samples of the same names of another one', async () => {
+		const {batches, kill} = cluster.createProcess('a');
 		await clock.tickAsync(100);
 		await tickUntilDone(clock, batches.submit('1', createSubmission(2, {step: 1, customer: 'x'})));
 		await clock.tickAsync(1000);
@@ -38,14 +38,14 @@
 		await tickUntilDone(clock, batches.submit('3', createSubmission(2, {step: 3, customer: 'x'})));
 		await clock.tickAsync(200);
 		const {results} = await tickUntilDone(clock, batches.read('3', 0, 0, 'x'));
-		// Half of the groups that are waited for may have been carried over.
+		// At most half of the wanted groups are treated as carried over.
 		expect(results.length + listRuns('x').filter(({resumeAfter}) => resumeAfter !== undefined).length).to.equal(1);
 		kill();
 	});
 
-	it('run with their customer and its priority, also after a take-over', async () => {
-		world.deployment.current = {...createDeployment(), customers: new Map([['x', {name: 'x', keys: ['k'], priority: 3}]])};
-		const [first, second] = [world.createProcess('a'), world.createProcess('b')];
+	it('run with their customer and its priority, also after a takeover', async () => {
+		cluster.deployment.current = {...createDeployment(), customers: new Map([['x', {name: 'x', keys: ['k'], priority: 3}]])};
+		const [first, second] = [cluster.createProcess('a'), cluster.createProcess('b')];
 		await clock.tickAsync(100);
 		await tickUntilDone(clock, first.batches.submit('1', createSubmission(2, {customer: 'x'})));
 		await clock.tickAsync(500);
@@ -59,12 +59,12 @@
 		second.kill();
 	});
 
-	it('do not exist for others', async () => {
-		const {batches, kill} = world.createProcess('a');
+	it('do not exist for other customers', async () => {
+		const {batches, kill} = cluster.createProcess('a');
 		await clock.tickAsync(100);
 		await tickUntilDone(clock, batches.submit('1', createSubmission(2, {customer: 'x'})));
-		const works = [batches.read('1', 0, 0, 'y'), batches.readBody('1', 's0', 'y'), batches.end('1', 'y')];
-		const codes = works.map(async work => work.then(() => 'none', (error: unknown) => (error as {code: string}).code));
+		const requests = [batches.read('1', 0, 0, 'y'), batches.readBody('1', 's0', 'y'), batches.end('1', 'y')];
+		const codes = requests.map(async work => work.then(() => 'none', (error: unknown) => (error as {code: string}).code));
 		expect(await tickUntilDone(clock, Promise.all(codes))).to.deep.equal(['missing', 'missing', 'missing']);
 		kill();
 	});
--- a/packages/batches/__tests__/dedicated-endpoints.spec.ts
+++ b/packages/batches/__tests__/dedicated-endpoints.spec.ts
@@ -5,7 +5,7 @@
 import {batchRecordSchema} from '../src/batch.js';
 import {DedicatedEndpoints} from '../src/dedicated-endpoints.js';
 
-describe('ShareHomes', () => {
+describe('DedicatedEndpoints', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -16,7 +16,7 @@
 		clock.uninstall();
 	});
 
-	it('gives one object as long as the endpoints stay the same, and another once they change', async () => {
+	it('returns the same object while the endpoints are unchanged, and another once they change', async () => {
 		const directory = new EndpointDirectory(new Random(1));
 		const register = (id: string) => {
 			directory.put({
@@ -34,18 +34,18 @@
 		const record = batchRecordSchema.parse({
 			id: 'x', shares: [share, share], series: 't', isEnded: false, object: '', total: 8, model: 'm', acceptedMs: 0,
 		});
-		const homes = new DedicatedEndpoints({
+		const dedicatedEndpoints = new DedicatedEndpoints({
 			directory, listServices: () => new Set(['s']), findPublished: () => 1, findRecord: () => record,
 		}, 0);
-		const first = homes.find();
+		const first = dedicatedEndpoints.find();
 		expect(first?.size).to.equal(3);
 		await clock.tickAsync(3000);
-		expect(homes.find()).to.equal(first);
+		expect(dedicatedEndpoints.find()).to.equal(first);
 		for (const id of ['g', 'h']) {
 			register(id);
 		}
 
 		await clock.tickAsync(600);
-		expect(homes.find()).not.to.equal(first);
+		expect(dedicatedEndpoints.find()).not.to.equal(first);
 	});
 });
--- a/packages/batches/__tests__/fixtures.ts
+++ b/packages/batches/__tests__/fixtures.ts
@@ -1,4 +1,4 @@
-/** A deployment of several processes over one store and a few endpoints, under a paused clock. */
+/** A cluster of several processes with one store and a few endpoints, under a fake clock. */
 import type {Clock} from '@sinonjs/fake-timers';
 import {EndpointDirectory} from '@wasabiusher/direct';
 import {MemoryRowStore, MemoryServing, type RowStoreSwitches} from '@wasabiusher/standins';
@@ -37,25 +37,25 @@
 	};
 }
 
-/** One process. */
+/** One process of the cluster. */
 export type Process = {
 	store: MemoryRowStore;
 	batches: Batches;
 	hosts: HostRegistry;
 	directory: EndpointDirectory;
-	/** Ends it as a kill would. */
+	/** Stops the process without a handover, as a kill does. */
 	kill(): void;
 };
 
-export type World = {
+export type Cluster = {
 	root: MemoryRowStore;
 	serving: MemoryServing;
 	deployment: {current: Deployment; published: number};
-	/** @param switches - of its way to the store, from its start on */
+	/** @param switches - switches of its view of the store, in effect from its start on */
 	createProcess(host: string, switches?: Partial<RowStoreSwitches>): Process;
 };
 
-export function createWorld(endpoints = 2): World {
+export function createCluster(endpoints = 2): Cluster {
 	const root = new MemoryRowStore();
 	const serving = new MemoryServing();
 	const deployment = {current: createDeployment(), published: 1};
@@ -129,17 +129,17 @@
 	};
 }
 
-/** Longest simulated time in which any work of a test is done, in milliseconds. */
-const workMs = 5000;
+/** Maximum simulated time for one asynchronous call of a test, in milliseconds. */
+const maxWorkMs = 5000;
 
-/** Moves a paused clock on until some work is done. */
+/** Advances the fake clock until a promise is settled. */
 export async function tickUntilDone<Result>(clock: Clock, work: Promise<Result>): Promise<Result> {
-	const until = Date.now() + workMs;
+	const until = Date.now() + maxWorkMs;
 	const state = {isDone: false};
 	const watched = work.finally(() => {
 		state.isDone = true;
 	});
-	// Who awaits it is told of its failure.
+	// The caller handles the rejection.
 	watched.catch(() => undefined);
 	while (!state.isDone && Date.now() < until) {
 		// eslint-disable-next-line no-await-in-loop
--- a/packages/batches/__tests__/host-registry.spec.ts
+++ b/packages/batches/__tests__/host-registry.spec.ts
@@ -29,11 +29,11 @@
 		clock.uninstall();
 	});
 
-	it('takes nothing from a row of absurd figures or of no form, and ignores fields of a newer release', () => {
+	it('rejects rows that are malformed or out of bounds, and ignores fields of a newer release', () => {
 		const paces: Array<Record<string, number>> = [];
 		const registry = createRegistry('a', false, {
-			onPaces(told) {
-				paces.push(told);
+			onPaces(reported) {
+				paces.push(reported);
 			},
 		});
 		const row = {
@@ -65,7 +65,7 @@
 		return registry;
 	}
 
-	/** Lets time pass and gives a registry the feed while it is open. */
+	/** Advances the clock, and applies the feed to a registry while the feed is open. */
 	async function run(registry: HostRegistry, ms: number): Promise<void> {
 		for (let i = 0; i < ms / 50; i += 1) {
 			// eslint-disable-next-line no-await-in-loop
@@ -84,7 +84,7 @@
 		}
 	}
 
-	it('takes nobody for gone while the store refuses some heartbeats of its own, and does once it takes them all', async () => {
+	it('reports no process as gone while the store refuses some of its own heartbeats, and does once all are accepted', async () => {
 		const views = [store.createView(), store.createView()];
 		const other = createRegistry('a', true, {rows: views[0]});
 		const own = createRegistry('b', true, {rows: views[1]});
@@ -102,7 +102,7 @@
 		expect(own.isGone(other.incarnation, 0)).to.equal(true);
 	});
 
-	it('adds up the texts that wait at all hosts, and forgets those of a host that has told nothing for two heartbeats', async () => {
+	it('sums the waiting samples of all hosts, except for hosts whose heartbeats are overdue', async () => {
 		const own = createRegistry('a', true, {listWaiting: () => ({m: 3})});
 		const other = createRegistry('b', true, {listWaiting: () => ({m: 4, n: 1})});
 		await run(own, 500);
@@ -112,28 +112,28 @@
 		expect(own.countWaiting('m')).to.equal(3);
 	});
 
-	it('believes a start again that goes on after a late heartbeat of the start before it', async () => {
+	it('treats a process as alive again that continues after a late heartbeat of its predecessor', async () => {
 		const registry = createRegistry('watcher', false);
-		const hear = (incarnation: string, beat: number) => {
+		const receive = (incarnation: string, beat: number) => {
 			registry.apply({
 				table: hostTable, part: '', key: 'h', version: 1, value: Buffer.from(JSON.stringify({incarnation, beat, isLeaving: false})),
 			});
 		};
 
 		for (const beat of [1, 2]) {
-			hear('new', beat);
+			receive('new', beat);
 		}
 
-		hear('old', 1);
+		receive('old', 1);
 		for (const beat of [3, 4, 5, 6]) {
-			hear('new', beat);
+			receive('new', beat);
 		}
 
 		const now = performance.now();
 		expect([registry.isGone('new', now), registry.isGone('old', now)]).to.deep.equal([false, true]);
 	});
 
-	it('takes a process for gone that is silent while this one hears its own heartbeats', async () => {
+	it('reports a silent process as gone while it receives its own heartbeats', async () => {
 		const [owner, other] = [createRegistry('a', true), createRegistry('b', false)];
 		await run(other, 2000);
 		expect(other.isGone(owner.incarnation, 0)).to.equal(false);
@@ -148,7 +148,7 @@
 		expect(isGone).to.equal(true);
 	});
 
-	it('takes nobody for gone while its own feed hangs, though its heartbeats are taken', async () => {
+	it('reports no process as gone while its feed hangs, even if its heartbeats are accepted', async () => {
 		const [owner, other] = [createRegistry('a', true), createRegistry('b', true)];
 		await run(other, 2000);
 		isFeedOpen = false;
@@ -169,15 +169,15 @@
 		expect(seen).to.not.include(true);
 	});
 
-	it('tells the paces of endpoints with its fifth heartbeat and every tenth after it, and learns those of others but not its own', async () => {
-		const heard: Array<[string, Record<string, number>]> = [];
-		const listen = (host: string) => ({
+	it('reports paces with its fifth heartbeat and every tenth after it, and receives those of other hosts but not its own', async () => {
+		const received: Array<[string, Record<string, number>]> = [];
+		const recordPaces = (host: string) => ({
 			onPaces(paces: Record<string, number>) {
-				heard.push([host, paces]);
+				received.push([host, paces]);
 			},
 		});
-		const owner = createRegistry('a', true, {listPaces: () => ({i1: 38.5}), ...listen('a')});
-		const other = createRegistry('b', false, listen('b'));
+		const owner = createRegistry('a', true, {listPaces: () => ({i1: 38.5}), ...recordPaces('a')});
+		const other = createRegistry('b', false, recordPaces('b'));
 		for (let i = 0; i < 160; i += 1) {
 			// eslint-disable-next-line no-await-in-loop
 			await run(other, 50);
@@ -186,11 +186,11 @@
 			owner.apply(row!);
 		}
 
-		expect(heard.length).to.equal(2);
-		expect(heard.every(([host, paces]) => host === 'b' && paces.i1 === 38.5)).to.equal(true);
+		expect(received.length).to.equal(2);
+		expect(received.every(([host, paces]) => host === 'b' && paces.i1 === 38.5)).to.equal(true);
 	});
 
-	it('lets all hosts suspect a silent one at once where the policy does not rank them', () => {
+	it('lets all hosts suspect a silent one at once if the policy does not rank them', () => {
 		const hosts = ['a', 'b', 'c'].map(host => createRegistry(host, false, {policy: {...defaultPolicy, ranksTakeOvers: false}}));
 		expect(hosts.map(host => host.findTakeoverDelayMs('batch'))).to.deep.equal([0, 0, 0]);
 	});
@@ -217,7 +217,7 @@
 			}
 		}
 
-		// All of them would have written two or three each.
+		// Without ranking, each of them would have written two or three.
 		expect(store.counts.commits - before).to.be.within(1, 120);
 	});
 
@@ -233,7 +233,7 @@
 		expect(view.counts.commits - before).to.equal(1);
 	});
 
-	it('names other hosts that can be linked to, and who is alive', async () => {
+	it('lists the addresses of other hosts, and the hosts that are alive', async () => {
 		const linked = new HostRegistry({
 			rows: store, host: 'c', address: '127.0.0.1:7', log: createSilentLog(), ownsWork: () => true,
 		});
--- a/packages/batches/__tests__/known-batches.spec.ts
+++ b/packages/batches/__tests__/known-batches.spec.ts
@@ -11,7 +11,7 @@
 }
 
 describe('KnownBatches', () => {
-	it('counts all samples of open batches of a model that nobody can have begun to tell of yet', () => {
+	it('counts all samples of open batches of a model that are too recent to be reported by a host', () => {
 		const known = new KnownBatches();
 		for (const record of [
 			createRecord({id: 'new'}), createRecord({id: 'ended', isEnded: true}), createRecord({id: 'other', model: 'n', total: 3}), createRecord({id: 'old', acceptedMs: 0}),
--- a/packages/batches/__tests__/pending-results.spec.ts
+++ b/packages/batches/__tests__/pending-results.spec.ts
@@ -3,7 +3,7 @@
 import {PendingResults} from '../src/pending-results.js';
 
 describe('PendingResults', () => {
-	it('plans no transaction that takes more bytes than the store does, whatever letters texts are made of', () => {
+	it('plans no transaction above the byte limit of the store, also for texts of multi-byte characters', () => {
 		const ids = ['s0', 's1', 's2', 's3'];
 		const pending = new PendingResults(ids.map(id => ({
 			id, path: '/', headers: {}, body: '', group: 'g',
--- a/packages/batches/__tests__/scoring.spec.ts
+++ b/packages/batches/__tests__/scoring.spec.ts
@@ -33,7 +33,7 @@
 		clock.uninstall();
 	});
 
-	/** Changes the endpoint that is asked first, whichever that is, before it is. */
+	/** Changes the endpoint that is called first, whichever it is, just before the call. */
 	function changeFirst(change: (scorer: MemoryEndpoint) => void): void {
 		const {client} = settings;
 		let isFirst = true;
@@ -57,16 +57,16 @@
 				id: 'c', host: 'h', path: '/scores/c', body: '',
 			},
 		};
-		const mark = scoreSample(settings, sample, new AbortController().signal);
+		const stamp = scoreSample(settings, sample, new AbortController().signal);
 		await clock.tickAsync(ms);
-		return mark;
+		return stamp;
 	}
 
 	function countRuns(): number {
 		return scorers.reduce((sum, {runs}) => sum + runs.length, 0);
 	}
 
-	it('asks one endpoint as long as it answers in time', async () => {
+	it('calls only one endpoint if it answers in time', async () => {
 		for (const {switches} of scorers) {
 			switches.callMs = 300;
 		}
@@ -87,7 +87,7 @@
 		expect(countRuns()).to.equal(2);
 	});
 
-	it('gives up only after as many failures as the route allows attempts, whatever else has broken off', async () => {
+	it('gives up only after as many failures as the route allows attempts, not counting a lost answer', async () => {
 		for (const {switches} of scorers) {
 			switches.status = 500;
 		}
@@ -96,11 +96,11 @@
 			switches.answersToLose = 1;
 		});
 		expect(await score(5000)).to.equal(undefined);
-		// One of them has broken off.
+		// The answer of one of them was lost.
 		expect(countRuns()).to.equal(5);
 	});
 
-	it('fails at no more endpoints than the route allows attempts', async () => {
+	it('fails at most as often as the route allows attempts', async () => {
 		for (const {switches} of scorers) {
 			switches.status = 500;
 		}
--- a/packages/batches/__tests__/shared-batches.spec.ts
+++ b/packages/batches/__tests__/shared-batches.spec.ts
@@ -4,24 +4,24 @@
 import {decodeRecord} from '../src/batch-store.js';
 import {findPart} from '../src/parts.js';
 import {
-	createSubmission, createWorld, tickUntilDone, type Process, type World,
+	createSubmission, createCluster, tickUntilDone, type Process, type Cluster,
 } from './fixtures.js';
 
-/** Samples of a batch that two of eight hosts share. */
-const great = 40;
+/** Number of samples of a batch that is shared by two of eight hosts. */
+const sharedBatchSamples = 40;
 
 describe('Batches that several hosts share', () => {
 	let clock: Clock;
-	let world: World;
+	let cluster: Cluster;
 	let processes: Process[];
 
-	async function settle<Result>(work: Promise<Result>): Promise<Result> {
+	async function waitFor<Result>(work: Promise<Result>): Promise<Result> {
 		return tickUntilDone(clock, work);
 	}
 
-	/** Reads a batch as a trainer does, page by page from a position on. */
+	/** Reads a batch page by page from a position on, as a trainer does. */
 	async function readFrom(process: Process, id: string, after = 0): Promise<SampleResult[]> {
-		const {results} = await settle(process.batches.read(id, after, 0));
+		const {results} = await waitFor(process.batches.read(id, after, 0));
 		return results.length === 0 ? results : [...results, ...await readFrom(process, id, after + results.length)];
 	}
 
@@ -29,22 +29,22 @@
 		return processes.filter(({batches}) => batches.ownedCount > 0);
 	}
 
-	function paceRuns(eventMs: number, events: number): void {
-		for (const {switches} of world.serving.endpoints.values()) {
+	function setRunSpeed(eventMs: number, events: number): void {
+		for (const {switches} of cluster.serving.endpoints.values()) {
 			Object.assign(switches, {eventMs, events});
 		}
 	}
 
-	function expectEachOnce(results: readonly SampleResult[], samples = great): void {
+	function expectEachOnce(results: readonly SampleResult[], samples = sharedBatchSamples): void {
 		expect(results.map(({id}) => id).toSorted()).to.deep.equal(Array.from({length: samples}, (_, i) => `s${i}`).toSorted());
 		expect(results.every(({state}) => state === 'made')).to.equal(true);
 	}
 
 	beforeEach(async () => {
 		clock = install();
-		world = createWorld(6);
-		processes = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(host => world.createProcess(host, {delayMs: 4}));
-		paceRuns(40, 10);
+		cluster = createCluster(6);
+		processes = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h'].map(host => cluster.createProcess(host, {delayMs: 4}));
+		setRunSpeed(40, 10);
 		await clock.tickAsync(500);
 	});
 
@@ -56,9 +56,9 @@
 		clock.uninstall();
 	});
 
-	it('divides a great batch, shows each result at one position at every process, and leaves a small one to one host', async () => {
-		await settle(processes[0]!.batches.submit('1', createSubmission(great)));
-		await settle(processes[1]!.batches.submit('2', createSubmission(4, {path: '/steps/other/x'})));
+	it('divides a large batch, returns each result at the same position on every process, and assigns a small batch to one host', async () => {
+		await waitFor(processes[0]!.batches.submit('1', createSubmission(sharedBatchSamples)));
+		await waitFor(processes[1]!.batches.submit('2', createSubmission(4, {path: '/steps/other/x'})));
 		await clock.tickAsync(200);
 		expect(processes.map(({batches}) => batches.ownedCount).toSorted((a, b) => a - b)).to.deep.equal([0, 0, 0, 0, 0, 1, 1, 1]);
 		await clock.tickAsync(6000);
@@ -68,9 +68,9 @@
 		expectEachOnce(await readFrom(processes[7]!, '2'), 4);
 	});
 
-	it('loses only the share of a host that is killed, which another takes over, with every position as it was read', async () => {
-		paceRuns(40, 25);
-		await settle(processes[0]!.batches.submit('1', createSubmission(great)));
+	it('moves only the share of a killed host to another one, and keeps the positions of results that were read', async () => {
+		setRunSpeed(40, 25);
+		await waitFor(processes[0]!.batches.submit('1', createSubmission(sharedBatchSamples)));
 		await clock.tickAsync(1300);
 		const before = await readFrom(processes[0]!, '1');
 		expect(before).not.to.have.length(0);
@@ -85,12 +85,12 @@
 		expect(results.slice(0, before.length)).to.deep.equal(before);
 	});
 
-	it('lists nothing twice when writes of both hosts lose their answers, or are performed late', async () => {
+	it('lists no result twice if writes of both hosts lose their answers or are performed late', async () => {
 		for (const {store} of processes) {
 			Object.assign(store.switches, {lateMs: 130});
 		}
 
-		await settle(processes[0]!.batches.submit('1', createSubmission(great)));
+		await waitFor(processes[0]!.batches.submit('1', createSubmission(sharedBatchSamples)));
 		for (let i = 0; i < 30; i += 1) {
 			for (const {store} of listWorkers()) {
 				Object.assign(store.switches, i % 2 === 0 ? {answersToLose: 1} : {writesToDelay: 1});
@@ -108,12 +108,12 @@
 		expectEachOnce(await readFrom(processes[3]!, '1'));
 	});
 
-	it('lists nothing again that the owner before has listed, though the next one did not see it when it began', async () => {
-		paceRuns(40, 25);
-		await settle(processes[0]!.batches.submit('1', createSubmission(great)));
+	it('lists no result again that the previous owner has listed, even if the new owner could not read it at its start', async () => {
+		setRunSpeed(40, 25);
+		await waitFor(processes[0]!.batches.submit('1', createSubmission(sharedBatchSamples)));
 		await clock.tickAsync(1300);
 		for (const {store} of processes) {
-			// What a host reads of results when it takes a share over lies behind what was written.
+			// A host that takes a share over reads none of the results that were written.
 			store.switches.hiddenTables = new Set(['batch-results']);
 		}
 
@@ -127,13 +127,13 @@
 		expectEachOnce(await readFrom(processes.find(({store}) => !store.switches.isDown)!, '1'));
 	});
 
-	it('goes on when both hosts leave at the same moment', async () => {
-		paceRuns(40, 60);
-		await settle(processes[0]!.batches.submit('1', createSubmission(great)));
+	it('continues if both hosts leave at the same time', async () => {
+		setRunSpeed(40, 60);
+		await waitFor(processes[0]!.batches.submit('1', createSubmission(sharedBatchSamples)));
 		await clock.tickAsync(1000);
 		const leaving = listWorkers();
 		expect(leaving).to.have.length(2);
-		await settle(Promise.all(leaving.map(async ({batches}) => batches.handOver())));
+		await waitFor(Promise.all(leaving.map(async ({batches}) => batches.handOver())));
 		await clock.tickAsync(600);
 		expect(leaving.map(({batches}) => batches.ownedCount)).to.deep.equal([0, 0]);
 		expect(listWorkers()).not.to.have.length(0);
@@ -141,50 +141,50 @@
 		expectEachOnce(await readFrom(processes[0]!, '1'));
 	});
 
-	it('takes a share that was given to a dead host over soon, since nobody has heard it since', async () => {
-		const first = createSubmission(great);
-		await settle(processes[0]!.batches.submit('1', first));
+	it('soon takes over a share that was assigned to a dead host, which has sent no heartbeat since', async () => {
+		const first = createSubmission(sharedBatchSamples);
+		await waitFor(processes[0]!.batches.submit('1', first));
 		await clock.tickAsync(100);
 		const [, other] = listWorkers();
-		await settle(processes[0]!.batches.end('1'));
-		// It has told that it rests, so that nobody listens for it when it dies.
+		await waitFor(processes[0]!.batches.end('1'));
+		// It has reported that it is idle, so that its silence goes unnoticed when it is killed.
 		await clock.tickAsync(8000);
 		other!.kill();
 		await clock.tickAsync(3000);
-		paceRuns(40, 60);
+		setRunSpeed(40, 60);
 		const reader = processes.find(process => process !== other)!;
-		await settle(reader.batches.submit('2', createSubmission(great)));
+		await waitFor(reader.batches.submit('2', createSubmission(sharedBatchSamples)));
 		await clock.tickAsync(1900);
 		const owned = processes.filter(process => process !== other).reduce((sum, {batches}) => sum + batches.ownedCount, 0);
 		expect(owned).to.equal(2);
 	});
 
-	it('takes nothing over from a host that has just been given a share by way of a slow store', async () => {
-		paceRuns(40, 150);
-		// Only a host that works hears its own heartbeats, without which it takes nothing over.
-		await settle(processes[5]!.batches.submit('0', createSubmission(2, {path: '/steps/other/x'})));
+	it('takes nothing over from a host that was just assigned a share through a slow store', async () => {
+		setRunSpeed(40, 150);
+		// Only a host with work receives its own heartbeats, without which it takes nothing over.
+		await waitFor(processes[5]!.batches.submit('0', createSubmission(2, {path: '/steps/other/x'})));
 		await clock.tickAsync(1500);
 		for (const {store} of processes) {
 			store.switches.delayMs = 400;
 		}
 
-		await settle(processes[0]!.batches.submit('1', createSubmission(great)));
+		await waitFor(processes[0]!.batches.submit('1', createSubmission(sharedBatchSamples)));
 		await clock.tickAsync(3000);
-		const {rows} = await world.root.read({table: batchTable, part: findPart('1')});
+		const {rows} = await cluster.root.read({table: batchTable, part: findPart('1')});
 		const {shares} = decodeRecord(rows.find(({key}) => key === '1')!);
 		expect(shares.map(({term}) => term)).to.deep.equal([1, 1]);
 	});
 
-	it('keeps the texts of all hosts at the end of a batch, and goes on with them in the next', async () => {
-		paceRuns(40, 50);
-		await settle(processes[0]!.batches.submit('1', createSubmission(great, {step: 1})));
+	it('retains the texts of all hosts at the end of a batch, and resumes them in the next one', async () => {
+		setRunSpeed(40, 50);
+		await waitFor(processes[0]!.batches.submit('1', createSubmission(sharedBatchSamples, {step: 1})));
 		await clock.tickAsync(1200);
-		await settle(processes[5]!.batches.end('1'));
+		await waitFor(processes[5]!.batches.end('1'));
 		await clock.tickAsync(300);
-		const runs = () => [...world.serving.endpoints.values()].flatMap(endpoint => endpoint.runs);
+		const runs = () => [...cluster.serving.endpoints.values()].flatMap(endpoint => endpoint.runs);
 		const before = runs().length;
 		expect(before).to.be.at.least(24);
-		await settle(processes[6]!.batches.submit('2', createSubmission(great, {step: 2, wantedGroups: 2 * great})));
+		await waitFor(processes[6]!.batches.submit('2', createSubmission(sharedBatchSamples, {step: 2, wantedGroups: 2 * sharedBatchSamples})));
 		await clock.tickAsync(9000);
 		const results = await readFrom(processes[2]!, '2');
 		expectEachOnce(results);
--- a/packages/batches/__tests__/speed-rows.spec.ts
+++ b/packages/batches/__tests__/speed-rows.spec.ts
@@ -36,14 +36,14 @@
 		}
 	}
 
-	it('lets a host that starts know the speed of an endpoint that has started again at its address', async () => {
+	it('provides a starting host with the speed of an endpoint that has restarted at its address', async () => {
 		const first = await startHost('i1');
 		measure(first, 'i1', 26);
 		await clock.tickAsync(6000);
 		first.speeds.stop();
 		const second = await startHost('i2');
 		expect(second.directory.findClassMs('i2')).to.equal(26);
-		// The guess was wrong: its own runs tell, and the rows follow.
+		// The speed from the row was wrong: its own runs correct it, and then the row.
 		measure(second, 'i2', 56);
 		expect(second.directory.findClassMs('i2')).to.equal(56);
 		await clock.tickAsync(6000);
@@ -53,7 +53,7 @@
 		third.speeds.stop();
 	});
 
-	it('writes nothing while no class has changed', async () => {
+	it('writes nothing while no persistent speed has changed', async () => {
 		const host = await startHost('i1');
 		measure(host, 'i1', 40);
 		await clock.tickAsync(6000);
@@ -65,7 +65,7 @@
 		host.speeds.stop();
 	});
 
-	it('reads on past a row that can not be read, and asks again while the store is silent', async () => {
+	it('skips an invalid row, and retries the read while the store fails', async () => {
 		const row = {
 			table: 'endpoint-speeds', part: '', key: 'a', value: new Uint8Array([1]),
 		};
--- a/packages/batches/src/acceptance.ts
+++ b/packages/batches/src/acceptance.ts
@@ -29,7 +29,7 @@
 }
 
 /**
- * Prepares a submission for its acceptance. An object that an earlier attempt has left in the store is overwritten.
+ * Prepares a submission for its acceptance. An object that an earlier attempt has left in the store does no harm.
  *
  * @throws {BatchError} `unavailable`: the batch is not accepted
  */
