--- a/packages/batches/__tests__/known-batches.spec.ts
+++ b/packages/batches/__tests__/known-batches.spec.ts
@@ -11,14 +11,14 @@
 }
 
 describe('KnownBatches', () => {
-	it('counts all samples of open batches of a model that nobody can have begun to tell of yet', () => {
+	it('counts all samples of open batches of a model that are too recent to be reported by a host', () => {
 		const known = new KnownBatches();
 		for (const record of [
 			createRecord({id: 'new'}), createRecord({id: 'ended', isEnded: true}), createRecord({id: 'other', model: 'n', total: 3}), createRecord({id: 'old', acceptedMs: 0}),
 		]) {
-			known.learn({record, version: 1});
+			known.update({record, version: 1});
 		}
 
-		expect([known.countFresh('m', 1100), known.countFresh('n', 1100), known.countFresh('m', 1800)]).to.deep.equal([10, 3, 0]);
+		expect([known.countUnreported('m', 1100), known.countUnreported('n', 1100), known.countUnreported('m', 1800)]).to.deep.equal([10, 3, 0]);
 	});
 });
