--- a/packages/duties/__tests__/fixtures.ts
+++ b/packages/duties/__tests__/fixtures.ts
@@ -1,23 +1,23 @@
-/** Hosts that count and report usage, over one store and one platform, under a paused clock. */
+/** Hosts that count and report usage, with one store, one platform and a fake clock. */
 import {
 	createSilentLog, Random,
 } from '@wasabiusher/shared';
 import {MemoryDuties, MemoryRowStore} from '@wasabiusher/standins';
 import {
-	UsageReporter, UsageStore, UsageTeller,
+	UsageReporter, UsageStore, UsageRecorder,
 } from '../src/index.js';
 
 export const windowMs = 5000;
 export const dueMs = 10_000;
 
-/** Who holds the duty; changed by tests. */
-export type Duty = {holder: string; fence: number; /** Time that the right lasts, in milliseconds. */ leftMs: number};
+/** Holder of the duty; changed by tests. */
+export type Duty = {holder: string; fence: number; /** Remaining time of the right, in milliseconds. */ remainingMs: number};
 
 export type Host = {
 	store: MemoryRowStore;
-	teller: UsageTeller;
+	recorder: UsageRecorder;
 	reporter: UsageReporter;
-	/** Ends it as a kill would. */
+	/** Stops the host as a kill would. */
 	kill(): void;
 };
 
@@ -25,15 +25,15 @@
 	root: MemoryRowStore;
 	duties: MemoryDuties;
 	duty: Duty;
-	/** Gives the duty to another host. */
-	pass(holder: string): void;
+	/** Passes the duty to another host. */
+	passDuty(holder: string): void;
 	createHost(name: string): Host;
 };
 
 export function createWorld(): World {
 	const root = new MemoryRowStore();
 	const duties = new MemoryDuties();
-	const duty: Duty = {holder: '', fence: 0, leftMs: 2700};
+	const duty: Duty = {holder: '', fence: 0, remainingMs: 2700};
 	const log = createSilentLog();
 	const readTrueMs = () => Date.now();
 	let hostCount = 0;
@@ -41,7 +41,7 @@
 		root,
 		duties,
 		duty,
-		pass(holder) {
+		passDuty(holder) {
 			duty.holder = holder;
 			duty.fence += 1;
 		},
@@ -50,11 +50,11 @@
 			const rows = root.createView();
 			const random = new Random(hostCount);
 			const store = new UsageStore(rows);
-			const teller = new UsageTeller({
+			const recorder = new UsageRecorder({
 				store, host: name, incarnation: `${name}-${hostCount}`, windowMs, readTrueMs, countHosts: () => hostCount, chance: () => random.next(), log,
 			});
 			const right = {
-				holds: (roomMs = 0) => duty.holder === name && roomMs < duty.leftMs,
+				holds: (effectMs = 0) => duty.holder === name && effectMs < duty.remainingMs,
 				get fence() {
 					return duty.holder === name ? duty.fence : 0;
 				},
@@ -62,15 +62,15 @@
 			const reporter = new UsageReporter({
 				store, client: duties, right, holder: name, windowMs, dueMs, readTrueMs, log, sendRoomMs: 1500,
 			});
-			teller.start();
+			recorder.start();
 			reporter.start();
 			return {
 				store: rows,
-				teller,
+				recorder,
 				reporter,
 				kill() {
 					rows.switches.isDown = true;
-					teller.stop();
+					recorder.stop();
 					reporter.stop();
 				},
 			};
--- a/packages/duties/__tests__/true-time.spec.ts
+++ b/packages/duties/__tests__/reference-clock.spec.ts
@@ -4,7 +4,7 @@
 
 describe('TrueTime', () => {
 	let clock: Clock;
-	/** True time less the store's clock, in milliseconds. */
+	/** Reference time minus the store's clock, in milliseconds. */
 	const offsetMs = 900_000;
 
 	beforeEach(() => {
@@ -15,11 +15,11 @@
 		clock.uninstall();
 	});
 
-	it('trusts this host\'s clock as long as it hears nothing else', () => {
+	it('uses this host\'s clock before the first answer of the store', () => {
 		expect(new TrueTime(() => undefined).read()).to.equal(1_000_000);
 	});
 
-	it('goes by what most hosts agree on when its own clock has jumped, and back by its own', () => {
+	it('uses the median of all hosts while its own clock deviates, and its own clock again afterwards', () => {
 		const origin = performance.now();
 		const time = new TrueTime(() => 100_000 + performance.now() - origin);
 		for (const [host, ms] of [['a', offsetMs], ['b', offsetMs + 3], ['c', offsetMs + 2000], ['d', offsetMs - 2], ['e', offsetMs - 2000]] as const) {
--- a/packages/duties/__tests__/usage-store.spec.ts
+++ b/packages/duties/__tests__/usage-store.spec.ts
@@ -15,24 +15,24 @@
 		store = new UsageStore(new MemoryRowStore());
 	});
 
-	it('forgets all that lies before a window, however many hosts have told of it', async () => {
+	it('deletes all rows before a window, however many hosts have written counts', async () => {
 		const hosts = Array.from({length: 600}, (_, i) => `h${i}`);
 		for (const window of [7, 8]) {
 			for (const host of hosts) {
 				// eslint-disable-next-line no-await-in-loop
-				await store.tell([createUsage(host, window)]);
+				await store.writeCounts([createUsage(host, window)]);
 			}
 		}
 
-		await store.forgetBefore(8);
-		const [old, kept] = await Promise.all([store.readTold(7), store.readTold(8)]);
+		await store.deleteBefore(8);
+		const [old, kept] = await Promise.all([store.readCounts(7), store.readCounts(8)]);
 		expect([old.length, kept.length]).to.deep.equal([0, hosts.length]);
 	});
 
-	it('reads the highest revision of what one start of a process has told', async () => {
-		await store.tell([createUsage('a', 7, {revision: 10, counts: new Map([['x', 3]])})]);
-		await store.tell([createUsage('a', 7, {revision: 9, counts: new Map([['x', 2]])})]);
-		const told = await store.readTold(7);
-		expect(told.map(({counts}) => [...counts])).to.deep.equal([[['x', 3]]]);
+	it('reads the highest revision of the counts of one start of a process', async () => {
+		await store.writeCounts([createUsage('a', 7, {revision: 10, counts: new Map([['x', 3]])})]);
+		await store.writeCounts([createUsage('a', 7, {revision: 9, counts: new Map([['x', 2]])})]);
+		const usages = await store.readCounts(7);
+		expect(usages.map(({counts}) => [...counts])).to.deep.equal([[['x', 3]]]);
 	});
 });
--- a/packages/duties/src/usage-counts.ts
+++ b/packages/duties/src/usage-counts.ts
@@ -1,37 +1,37 @@
 /**
- * What this host has seen begin, by window and customer.
+ * Counts the requests that this host starts, by window and customer.
  *
- * A request counts from the moment at which it is sent, so that a host that is killed loses no more than it has not written yet; one that is
- * proven not to have run is taken back.
+ * A request is counted when it is sent, so that a killed host loses only the counts that it has not written yet; a request that
+ * has provably not run is subtracted again.
  */
 
-/** Windows that are remembered; older ones are closed. */
-const keptWindows = 12;
+/** Number of windows that are kept; older ones are closed. */
+const retainedWindows = 12;
 
-/** A request that counts. */
-export type UsageMark = {
-	/** Takes it back: it has not run. */
+/** A request that was counted. */
+export type CountedRequest = {
+	/** Subtracts the request again, since it has not run. */
 	undo(): void;
 };
 
-/** The counts of this host. */
+/** Counts of this host. */
 export class UsageCounts {
 	readonly #windowMs: number;
-	readonly #readTrueMs: () => number;
+	readonly #readReferenceMs: () => number;
 	readonly #windows = new Map<number, Map<string, number>>();
 	readonly #dirty = new Set<number>();
 	readonly #onChange: () => void;
 
-	/** @param onChange - called when there is something to tell */
+	/** @param onChange - called when there are counts to write */
 	constructor(windowMs: number, readTrueMs: () => number, onChange: () => void) {
 		this.#windowMs = windowMs;
-		this.#readTrueMs = readTrueMs;
+		this.#readReferenceMs = readTrueMs;
 		this.#onChange = onChange;
 	}
 
-	/** Counts a request that is sent now. */
-	begin(customer: string): UsageMark {
-		const window = Math.floor(this.#readTrueMs() / this.#windowMs);
+	/** Counts a request that is being sent. */
+	begin(customer: string): CountedRequest {
+		const window = Math.floor(this.#readReferenceMs() / this.#windowMs);
 		this.#add(window, customer, 1);
 		let isCounted = true;
 		return {
@@ -44,23 +44,23 @@
 		};
 	}
 
-	/** Counts of a window; empty if nothing began in it. */
+	/** Returns the counts of a window by customer; empty without requests. */
 	read(window: number): ReadonlyMap<string, number> {
 		return this.#windows.get(window) ?? new Map();
 	}
 
-	/** Windows whose counts have changed since `markTold`, in ascending order. */
+	/** Returns the windows whose counts have changed since `markWritten`, in ascending order. */
 	listDirty(): number[] {
 		return [...this.#dirty].toSorted((a, b) => a - b);
 	}
 
-	/** Notes that the counts of a window are about to be told as they are now. */
-	markTold(window: number): void {
+	/** Marks the current counts of a window as written; to be called before they are. */
+	markWritten(window: number): void {
 		this.#dirty.delete(window);
 	}
 
-	/** Notes that telling them has failed. */
-	markUntold(window: number): void {
+	/** Marks a window as unwritten after a failed write. */
+	markUnwritten(window: number): void {
 		this.#dirty.add(window);
 	}
 
@@ -75,11 +75,11 @@
 		}
 
 		this.#dirty.add(window);
-		this.#forgetBefore(window - keptWindows);
+		this.#dropBefore(window - retainedWindows);
 		this.#onChange();
 	}
 
-	#forgetBefore(oldest: number): void {
+	#dropBefore(oldest: number): void {
 		for (const window of this.#windows.keys()) {
 			if (window < oldest) {
 				this.#windows.delete(window);
--- a/packages/duties/src/usage-reporter.ts
+++ b/packages/duties/src/usage-reporter.ts
@@ -1,196 +1,197 @@
 /**
- * Reports the usage of each window, on the host that holds the duty.
+ * Reports the usage of each window to the platform, on the host that holds the duty.
  *
- * Load pattern: the holder is killed, frozen or cut off at any moment, its calls are answered late or never and performed seconds later. What is
- * reported is fixed in the store before it is sent, and sent again until it is confirmed, so that each window is told once and
- * the same whoever tells it.
+ * Load pattern: the holder is killed, frozen or cut off at any time; its calls are answered late or never, and performed seconds later. Each
+ * report is fixed in the store before it is sent, and sent again until it is confirmed, so that each window is reported once and
+ * with the same counts by every holder.
  */
 import type {DutyClient} from '@wasabiusher/backends';
 import {describeError, type Log} from '@wasabiusher/shared';
-import {shouldClose} from './closing.js';
+import {shouldClose} from './window-closing.js';
 import type {HostUsage, StoredReport, UsageStore} from './usage-store.js';
 
-/** Time between looks at what is due, in milliseconds. */
-const lookMs = 250;
+/** Interval between checks for due reports, in milliseconds. */
+const checkIntervalMs = 250;
 
-/** Windows for which a host that tells nothing is waited for: it is cut off from the store for some seconds, or gone. */
-const expectedWindows = 4;
+/** Windows for which a host without counts is waited for: it is cut off from the store for some seconds, or has ended. */
+const missingHostWindows = 4;
 
-/** Windows that are made up for after an outage; older ones are not reported any more. */
-const maxOwedWindows = 24;
+/** Limit of windows that are reported late after an outage; older ones are not reported. */
+const maxBacklogWindows = 24;
 
-/** Windows whose rows are kept, so that a late successor finds what was reported; and windows between two removals of older ones. */
-const keptWindows = 48;
-const sweptWindows = 12;
+/** Windows whose rows are kept, so that a late successor finds the reports; and windows between two deletions of older rows. */
+const retainedWindows = 48;
+const sweepIntervalWindows = 12;
 
-/** Leave to act for all; to be asked right before each call. */
-export type DutyHolding = {
-	/** Goes up with each change of the holder. */
+/** Exclusive right to report; to be checked right before each call. */
+export type DutyLease = {
+	/** Fencing token; increases with each change of the holder. */
 	readonly fence: number;
-	holds(roomMs?: number): boolean;
+	/** Whether this host holds the duty, and for another `effectMs` milliseconds. */
+	holds(effectMs?: number): boolean;
 };
 
 export type UsageReporterSettings = {
 	store: UsageStore;
 	client: DutyClient;
-	right: DutyHolding;
-	/** Time for which the right must last beyond the send of a report, in milliseconds; 0 where the platform refuses an old fence itself. */
+	right: DutyLease;
+	/** Time for which the right must last after a report is sent, in milliseconds; 0 if the platform rejects old fences itself. */
 	sendRoomMs?: number;
 	/** Name of the host. */
 	holder: string;
 	/** Length of a window, in milliseconds. */
 	windowMs: number;
-	/** Time after a window's end at which its report is due, in milliseconds. */
+	/** Time from a window's end until its report is due, in milliseconds. */
 	dueMs: number;
 	log: Log;
-	/** True time, in milliseconds since the start of 1970. */
+	/** Reads the reference time, in milliseconds since the epoch. */
 	readTrueMs(): number;
 };
 
-/** Reports windows while this host holds the duty. */
+/** Reports windows while this host holds the duty. To be started on every host. */
 export class UsageReporter {
 	readonly #settings: UsageReporterSettings;
-	/** The fence under which what follows is known; what is known without the duty may be out of date. */
+	/** Fence for which the state below was loaded; state of an earlier fence may be out of date. */
 	#fence = 0;
-	/** The highest fence that the platform has refused; nothing is sent under it again. */
+	/** Highest fence that the platform has rejected; nothing is sent with it again. */
 	#refusedFence = 0;
-	/** Reports that are fixed and not confirmed, by window. */
+	/** Reports that are fixed but not confirmed, by window. */
 	readonly #unsent = new Map<number, StoredReport>();
 	#nextWindow = 0;
-	/** The last window that each host has told. */
-	readonly #toldBy = new Map<string, number>();
-	#actedAt = Number.NEGATIVE_INFINITY;
+	/** Last window of which each host has written counts. */
+	readonly #lastWindowByHost = new Map<string, number>();
+	#lastCallAt = Number.NEGATIVE_INFINITY;
 	#timer: NodeJS.Timeout | undefined;
-	#isLooking = false;
+	#isChecking = false;
 
 	constructor(settings: UsageReporterSettings) {
 		this.#settings = settings;
 	}
 
-	/** Time since the platform was last called, in milliseconds; infinite if it never was. */
+	/** Time since the last call to the platform, in milliseconds; infinite before the first. */
 	get sinceActMs(): number {
-		return performance.now() - this.#actedAt;
+		return performance.now() - this.#lastCallAt;
 	}
 
 	start(): void {
 		this.#timer = setInterval(() => {
-			void this.look();
-		}, lookMs);
+			void this.check();
+		}, checkIntervalMs);
 	}
 
 	stop(): void {
 		clearInterval(this.#timer);
 	}
 
-	/** Reports what is due, if this host holds the duty. Never rejects. */
-	async look(): Promise<void> {
-		if (this.#isLooking) {
+	/** Sends due reports if this host holds the duty. Never rejects. */
+	async check(): Promise<void> {
+		if (this.#isChecking) {
 			return;
 		}
 
-		this.#isLooking = true;
+		this.#isChecking = true;
 		try {
-			if (this.#mayAct()) {
-				await this.#learn();
+			if (this.#canAct()) {
+				await this.#loadState();
 				await this.#closeDue();
 				await this.#sendAll();
 			}
 		} catch (error) {
 			this.#settings.log.info('usage_not_reported', {window: this.#nextWindow, reason: describeError(error)});
 		} finally {
-			this.#isLooking = false;
+			this.#isChecking = false;
 		}
 	}
 
-	#mayAct(): boolean {
+	#canAct(): boolean {
 		const {right} = this.#settings;
 		return right.holds() && right.fence > this.#refusedFence;
 	}
 
-	/** Learns what earlier holders have left, once for each fence. */
-	async #learn(): Promise<void> {
+	/** Loads the state that earlier holders have left, once per fence. */
+	async #loadState(): Promise<void> {
 		const {store, right, log} = this.#settings;
 		const {fence} = right;
 		if (this.#fence === fence) {
 			return;
 		}
 
-		const current = this.#findWindow();
-		const oldest = current - maxOwedWindows;
-		const [reports, oldestTold] = await Promise.all([store.readReports(oldest), store.findOldestTold()]);
+		const current = this.#getCurrentWindow();
+		const oldest = current - maxBacklogWindows;
+		const [reports, oldestWindow] = await Promise.all([store.readReports(oldest), store.findOldestWindow()]);
 		this.#unsent.clear();
 		for (const report of reports.filter(({isSent}) => !isSent)) {
 			this.#unsent.set(report.window, report);
 		}
 
 		const last = reports.at(-1)?.window;
-		this.#nextWindow = last === undefined ? Math.max(oldest, oldestTold ?? current) : last + 1;
-		await this.#expectHosts();
+		this.#nextWindow = last === undefined ? Math.max(oldest, oldestWindow ?? current) : last + 1;
+		await this.#loadHosts();
 		this.#fence = fence;
 		log.info('usage_taken_over', {fence, window: this.#nextWindow, unsent: this.#unsent.size});
 	}
 
-	/** Finds which hosts have told the windows before the next one. */
-	async #expectHosts(): Promise<void> {
-		const windows = Array.from({length: expectedWindows}, (_, i) => this.#nextWindow - expectedWindows + i);
-		const told = await Promise.all(windows.map(async window => this.#settings.store.readTold(window)));
-		this.#toldBy.clear();
-		for (const usages of told) {
-			this.#noteTold(usages);
+	/** Loads which hosts have written counts of the windows before the next one. */
+	async #loadHosts(): Promise<void> {
+		const windows = Array.from({length: missingHostWindows}, (_, i) => this.#nextWindow - missingHostWindows + i);
+		const usagesByWindow = await Promise.all(windows.map(async window => this.#settings.store.readCounts(window)));
+		this.#lastWindowByHost.clear();
+		for (const usages of usagesByWindow) {
+			this.#recordHosts(usages);
 		}
 	}
 
-	#noteTold(usages: readonly HostUsage[]): void {
+	#recordHosts(usages: readonly HostUsage[]): void {
 		for (const {host, window} of usages) {
-			this.#toldBy.set(host, window);
+			this.#lastWindowByHost.set(host, window);
 		}
 
 		for (const {host} of usages.filter(({isLast}) => isLast)) {
-			this.#toldBy.delete(host);
+			this.#lastWindowByHost.delete(host);
 		}
 	}
 
 	async #closeDue(): Promise<void> {
 		const {windowMs, dueMs, readTrueMs, store} = this.#settings;
-		while (this.#mayAct() && this.#nextWindow < this.#findWindow()) {
+		while (this.#canAct() && this.#nextWindow < this.#getCurrentWindow()) {
 			const window = this.#nextWindow;
-			// Windows are closed in their order.
+			// Windows are closed in ascending order.
 			// eslint-disable-next-line no-await-in-loop
-			const told = await store.readTold(window);
+			const recorded = await store.readCounts(window);
 			const sinceEndMs = readTrueMs() - ((window + 1) * windowMs);
-			const expected = [...this.#toldBy].filter(([, last]) => last >= window - expectedWindows).map(([host]) => host);
+			const expectedHosts = [...this.#lastWindowByHost].filter(([, last]) => last >= window - missingHostWindows).map(([host]) => host);
 			if (!shouldClose({
-				sinceEndMs, dueMs, told, expected,
+				sinceEndMs, dueMs, recorded, expectedHosts,
 			})) {
 				return;
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			if (!await this.#fix(window, told, sinceEndMs)) {
+			if (!await this.#fixReport(window, recorded, sinceEndMs)) {
 				return;
 			}
 		}
 	}
 
-	/** Fixes what is reported of a window; false if the store has a report already, which is learnt first. */
-	async #fix(window: number, told: readonly HostUsage[], sinceEndMs: number): Promise<boolean> {
+	/** Fixes the report of a window; returns false if the store has one already, which has to be loaded first. */
+	async #fixReport(window: number, usages: readonly HostUsage[], sinceEndMs: number): Promise<boolean> {
 		const {store, log} = this.#settings;
-		const counts = sumCounts(told);
-		const report = await store.fix({window, counts});
+		const counts = sumCounts(usages);
+		const report = await store.fixReport({window, counts});
 		if (!report) {
-			// Another holder was first, or a write of this one whose answer was lost: what the store has is what counts.
+			// Another holder was first, or a write of this one whose answer was lost: the stored report is valid.
 			this.#fence = 0;
 			return false;
 		}
 
 		this.#unsent.set(window, report);
 		log.info('usage_closed', {
-			window, hosts: told.length, missing: told.filter(({isFinal}) => !isFinal).length, customers: counts.size, sinceEndMs: Math.round(sinceEndMs),
+			window, hosts: usages.length, missing: usages.filter(({isFinal}) => !isFinal).length, customers: counts.size, sinceEndMs: Math.round(sinceEndMs),
 		});
 		this.#nextWindow = window + 1;
-		this.#noteTold(told);
-		if (window % sweptWindows === 0) {
-			await store.forgetBefore(window - keptWindows);
+		this.#recordHosts(usages);
+		if (window % sweepIntervalWindows === 0) {
+			await store.deleteBefore(window - retainedWindows);
 		}
 
 		return true;
@@ -199,20 +200,20 @@
 	async #sendAll(): Promise<void> {
 		const {store} = this.#settings;
 		for (const report of [...this.#unsent.values()].toSorted((a, b) => a.window - b.window)) {
-			// One after the other: the platform limits the calls of all hosts together.
+			// Sequential, since the platform limits the concurrent calls of all hosts together.
 			// eslint-disable-next-line no-await-in-loop
-			if (!this.#mayAct() || !await this.#send(report)) {
+			if (!this.#canAct() || !await this.#send(report)) {
 				return;
 			}
 
 			this.#unsent.delete(report.window);
-			// A successor that does not find the note sends the same once more, which does no harm.
+			// A successor that does not find the mark sends the same report again, which is harmless.
 			// eslint-disable-next-line no-await-in-loop
 			await store.markSent(report);
 		}
 	}
 
-	/** Sends one report; false if it has to be sent again. */
+	/** Sends one report; returns false if it has to be sent again. */
 	async #send(report: StoredReport): Promise<boolean> {
 		const {client, right, holder, log, sendRoomMs} = this.#settings;
 		const {fence} = right;
@@ -220,7 +221,7 @@
 			return false;
 		}
 
-		this.#actedAt = performance.now();
+		this.#lastCallAt = performance.now();
 		const outcome = await client.reportUsage(report, {holder, fence});
 		log.info('usage_reported', {window: report.window, fence, outcome});
 		if (outcome === 'fenced') {
@@ -230,16 +231,16 @@
 		return outcome === 'accepted';
 	}
 
-	/** The window of now. */
-	#findWindow(): number {
+	/** Returns the current window. */
+	#getCurrentWindow(): number {
 		const {windowMs, readTrueMs} = this.#settings;
 		return Math.floor(readTrueMs() / windowMs);
 	}
 }
 
-function sumCounts(told: readonly HostUsage[]): Map<string, number> {
+function sumCounts(usages: readonly HostUsage[]): Map<string, number> {
 	const sums = new Map<string, number>();
-	for (const {counts} of told) {
+	for (const {counts} of usages) {
 		for (const [customer, count] of counts) {
 			sums.set(customer, (sums.get(customer) ?? 0) + count);
 		}
--- a/packages/duties/src/usage-store.ts
+++ b/packages/duties/src/usage-store.ts
@@ -1,7 +1,7 @@
 /**
- * Usage in the store: what each host has counted, and what is reported of each window.
+ * Stores usage: the counts of each host and the report of each window.
  *
- * A report is written on the condition that there is none yet, before it is sent. So every holder of the duty sends the very same.
+ * A report is written before it is sent, on the condition that none exists yet, so that all holders of the duty send the same report.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -9,21 +9,21 @@
 } from '@wasabiusher/backends';
 import {describeError, hashToNumber} from '@wasabiusher/shared';
 import {z} from 'zod';
-import type {ToldUsage} from './closing.js';
+import type {RecordedUsage} from './window-closing.js';
 import {DutyError} from './errors.js';
 
 const countTable = 'usage-counts';
 const reportTable = 'usage-reports';
 
-/** Each part carries some hundred transactions a second. */
+/** Number of partitions; each handles some hundred transactions a second. */
 const partCount = 4;
 const countParts: readonly string[] = Array.from({length: partCount}, (_, i) => `u${i}`);
 
-/** Rows of one answer, and of one transaction. */
+/** Limit of rows in one read, and of deletions in one transaction. */
 const pageRows = 500;
-const maxDeletes = 100;
+const maxDeletedRows = 100;
 
-/** Keys sort as numbers do: windows of a millisecond need thirteen digits. */
+/** Digits of a window in a row key; padding makes keys sort numerically. Windows of one millisecond need thirteen digits. */
 const windowDigits = 13;
 
 const countsSchema = z.record(z.string(), z.int().nonnegative());
@@ -32,15 +32,15 @@
 });
 const reportRowSchema = z.object({counts: countsSchema, isSent: z.boolean()});
 
-/** What a host has counted in a window. */
-export type HostUsage = ToldUsage & {
+/** Counts of one host in one window, by customer. */
+export type HostUsage = RecordedUsage & {
 	window: number;
 	counts: ReadonlyMap<string, number>;
-	/** Goes up whenever it is not known whether a row was written; the highest holds, whenever the others are performed. */
+	/** Increases after each write with an unknown outcome; the highest revision is valid, even if others are performed later. */
 	revision: number;
 };
 
-/** A report with the version of its row. */
+/** A report, whether it was sent, and the version of its row. */
 export type StoredReport = UsageReport & {isSent: boolean; version: number};
 
 /** Reads and writes usage. Throws `DutyError`. */
@@ -51,18 +51,18 @@
 		this.#rows = rows;
 	}
 
-	/** Writes what one host has counted, in the place of what it has told of these windows under the same revision. */
-	async tell(usages: readonly HostUsage[]): Promise<void> {
+	/** Writes the counts of one host; replaces its counts of the same windows and revision. */
+	async writeCounts(usages: readonly HostUsage[]): Promise<void> {
 		const puts = usages.map(({window, host, incarnation, revision, isFinal, isLast, counts}) => ({
 			...locateCounts(window, incarnation, revision), value: encode({
 				host, isFinal, isLast, counts: Object.fromEntries(counts),
 			}),
 		}));
-		await guard(this.#rows.commit({conditions: [], puts, deletes: []}));
+		await convertErrors(this.#rows.commit({conditions: [], puts, deletes: []}));
 	}
 
-	/** Reads what all hosts have told of a window last. */
-	async readTold(window: number): Promise<HostUsage[]> {
+	/** Reads the newest counts of all hosts for a window. */
+	async readCounts(window: number): Promise<HostUsage[]> {
 		const pages = await Promise.all(countParts.map(async part => this.#readAll({
 			table: countTable, part, from: `${formatWindow(window)}/`, to: `${formatWindow(window)}0`,
 		})));
@@ -76,9 +76,9 @@
 		return [...newest.values()];
 	}
 
-	/** The oldest window of which something was told; undefined if nothing was. */
-	async findOldestTold(): Promise<number | undefined> {
-		const pages = await Promise.all(countParts.map(async part => guard(this.#rows.read({table: countTable, part, limit: 1}))));
+	/** Returns the oldest window with counts; undefined if there is none. */
+	async findOldestWindow(): Promise<number | undefined> {
+		const pages = await Promise.all(countParts.map(async part => convertErrors(this.#rows.read({table: countTable, part, limit: 1}))));
 		const windows = pages.flatMap(({rows}) => rows).map(row => decodeCounts(row).window);
 		return windows.length === 0 ? undefined : Math.min(...windows);
 	}
@@ -90,11 +90,11 @@
 	}
 
 	/**
-	 * Fixes what is reported of a window; the first one holds.
+	 * Fixes the report of a window; the first write wins.
 	 *
-	 * @returns undefined if another report was first
+	 * @returns undefined if a report exists already
 	 */
-	async fix({window, counts}: UsageReport): Promise<StoredReport | undefined> {
+	async fixReport({window, counts}: UsageReport): Promise<StoredReport | undefined> {
 		const version = await this.#writeReport({window, counts, isSent: false}, 0);
 		return version === undefined
 			? undefined
@@ -103,29 +103,29 @@
 			};
 	}
 
-	/** Notes that the platform has a report. */
+	/** Marks a report as accepted by the platform. */
 	async markSent(report: StoredReport): Promise<void> {
 		await this.#writeReport({...report, isSent: true}, report.version);
 	}
 
-	/** Removes all that lies before a window. */
-	async forgetBefore(window: number): Promise<void> {
-		await Promise.all([this.#removeBefore(window, reportTable, ''), ...countParts.map(async part => this.#removeBefore(window, countTable, part))]);
+	/** Deletes all rows of windows before the given one. */
+	async deleteBefore(window: number): Promise<void> {
+		await Promise.all([this.#deleteRowsBefore(window, reportTable, ''), ...countParts.map(async part => this.#deleteRowsBefore(window, countTable, part))]);
 	}
 
-	async #removeBefore(window: number, table: string, part: string): Promise<void> {
+	async #deleteRowsBefore(window: number, table: string, part: string): Promise<void> {
 		for (;;) {
-			// What is read next is what the last transaction has left.
+			// Each read depends on the deletions of the previous transaction.
 			// eslint-disable-next-line no-await-in-loop
-			const {rows} = await guard(this.#rows.read({
-				table, part, to: formatWindow(window), limit: maxDeletes,
+			const {rows} = await convertErrors(this.#rows.read({
+				table, part, to: formatWindow(window), limit: maxDeletedRows,
 			}));
 			if (rows.length === 0) {
 				return;
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			await guard(this.#rows.commit({conditions: [], puts: [], deletes: rows.map(({key}) => ({table, part, key}))}));
+			await convertErrors(this.#rows.commit({conditions: [], puts: [], deletes: rows.map(({key}) => ({table, part, key}))}));
 		}
 	}
 
@@ -194,13 +194,13 @@
 	try {
 		return schema.parse(JSON.parse(Buffer.from(value).toString()));
 	} catch (error) {
-		throw new DutyError('invalid', `row ${key} is not usage`, error);
+		throw new DutyError('invalid', `usage row ${key} doesn't match the schema`, error);
 	}
 }
 
-async function guard<Result>(work: Promise<Result>): Promise<Result> {
+async function convertErrors<Result>(operation: Promise<Result>): Promise<Result> {
 	try {
-		return await work;
+		return await operation;
 	} catch (error) {
 		throw toDutyError(error);
 	}
--- a/packages/duties/src/usage.ts
+++ b/packages/duties/src/usage.ts
@@ -1,52 +1,52 @@
 /**
- * Usage on one host: what it counts itself, and what it reports for all while it holds the duty.
+ * Usage on one host: counts its own requests, and reports the usage of all hosts while it holds the duty.
  */
-import type {UsageMark} from './usage-counts.js';
+import type {CountedRequest} from './usage-counts.js';
 import {UsageReporter, type UsageReporterSettings} from './usage-reporter.js';
-import {UsageTeller, type UsageTellerSettings} from './usage-teller.js';
+import {UsageRecorder, type UsageRecorderSettings} from './usage-recorder.js';
 
-export type UsageSettings = Omit<UsageReporterSettings, 'holder'> & Omit<UsageTellerSettings, 'host'> & {
+export type UsageSettings = Omit<UsageReporterSettings, 'holder'> & Omit<UsageRecorderSettings, 'host'> & {
 	/** Name of the host. */
 	host: string;
 };
 
-/** Counts requests, tells them, and reports windows. */
+/** Counts requests, writes the counts to the store, and reports windows. */
 export class Usage {
-	readonly #teller: UsageTeller;
+	readonly #recorder: UsageRecorder;
 	readonly #reporter: UsageReporter;
 
 	constructor(settings: UsageSettings) {
-		this.#teller = new UsageTeller(settings);
+		this.#recorder = new UsageRecorder(settings);
 		this.#reporter = new UsageReporter({...settings, holder: settings.host});
 	}
 
-	/** Time since this host last acted for all, in milliseconds; infinite if it never did. */
+	/** Time since this host last sent a report, in milliseconds; infinite before the first. */
 	get sinceActMs(): number {
 		return this.#reporter.sinceActMs;
 	}
 
-	/** Counts a request of a customer that is sent to an endpoint now. */
-	begin(customer: string): UsageMark {
-		return this.#teller.begin(customer);
+	/** Counts a request of a customer that is being sent to an endpoint. */
+	begin(customer: string): CountedRequest {
+		return this.#recorder.begin(customer);
 	}
 
 	start(): void {
-		this.#teller.start();
+		this.#recorder.start();
 		this.#reporter.start();
 	}
 
-	/** Acts for all no more; this host's own requests are counted on. */
+	/** Stops reporting; this host's own requests are still counted. */
 	resign(): void {
 		this.#reporter.stop();
 	}
 
-	/** Tells the last counts of a process that takes no more requests. Never rejects. */
+	/** Writes the last counts of a process that accepts no more requests. Never rejects. */
 	async leave(): Promise<void> {
-		await this.#teller.leave();
+		await this.#recorder.leave();
 	}
 
 	stop(): void {
-		this.#teller.stop();
+		this.#recorder.stop();
 		this.#reporter.stop();
 	}
 }
