--- a/packages/batches/src/batch-sweep.ts
+++ b/packages/batches/src/batch-sweep.ts
@@ -15,11 +15,11 @@
 
 /** Deletes ended batches accepted before, and texts retained before, a time on the store's clock in milliseconds. Never rejects. */
 export async function sweepBefore({
-	store, keptTexts, known, log,
+	store, keptTexts: retainedTexts, known, log,
 }: SweepSettings, cutoffMs: number): Promise<void> {
 	const expired = [...known.values()].filter(({record}) => record.isEnded && record.acceptedMs < cutoffMs);
 	try {
-		const texts = await keptTexts.deleteBefore(cutoffMs);
+		const texts = await retainedTexts.deleteBefore(cutoffMs);
 		for (const {record, version} of expired) {
 			// Sequential, since nothing waits for the result.
 			// eslint-disable-next-line no-await-in-loop
--- a/packages/batches/src/batches.ts
+++ b/packages/batches/src/batches.ts
@@ -66,7 +66,7 @@
 	constructor(settings: BatchesSettings) {
 		this.#settings = settings;
 		const {
-			keptTexts, dataCentre = '', log, random, policy = defaultPolicy, isStoreOpen = () => true,
+			keptTexts: retainedTexts, dataCentre = '', log, random, policy = defaultPolicy, isStoreOpen = () => true,
 		} = settings;
 		this.#commitScheduler = policy.commitsByWorth ? new CommitScheduler({isOpen: isStoreOpen, chance: () => random.next()}) : undefined;
 		const known = this.#known;
@@ -78,7 +78,7 @@
 				this.#updateBatch(found);
 			},
 		});
-		this.#retired = new RetiredBatches(keptTexts, log);
+		this.#retired = new RetiredBatches(retainedTexts, log);
 		this.#planner = new SharePlanner({...settings, dataCentre, known});
 		this.#retainedTextFinder = new RetainedTextFinder({...settings, known, retired: this.#retired});
 		this.#takeovers = new Takeovers({
--- a/packages/batches/src/dedicated-endpoints.ts
+++ b/packages/batches/src/dedicated-endpoints.ts
@@ -44,7 +44,7 @@
 	}
 
 	#divide(): ReadonlySet<string> | undefined {
-		const {directory, listServices, findPublished, findRecord} = this.#settings;
+		const {directory, listServices, findPublished: findPublishedVersion, findRecord} = this.#settings;
 		const {shares, model} = findRecord();
 		if (shares.length === 1) {
 			return undefined;
@@ -52,7 +52,7 @@
 
 		const services = listServices();
 		// A batch still accepts the previous version; an endpoint with an older one is loading another model.
-		const minWeightVersion = (findPublished(model) ?? 1) - 1;
+		const minWeightVersion = (findPublishedVersion(model) ?? 1) - 1;
 		// Uses the registered versions, which are the same on all hosts. Versions in observed answers differ between hosts, and made three hosts fill one endpoint.
 		const candidates = directory.list().filter(({service, isDraining, models}) => services.has(service) && !isDraining
 			&& (model === '' || models.some(loaded => loaded.model === model && loaded.version >= minWeightVersion)));
--- a/packages/batches/src/host-registry.ts
+++ b/packages/batches/src/host-registry.ts
@@ -25,7 +25,7 @@
  * sends one within three calls to the store, each of which takes a quarter of a second if the store is slow. The process may have failed while it had no
  * work, when its silence goes unnoticed.
  */
-const unheardOwnerMs = 1200;
+const maxNewOwnerSilenceMs = 1200;
 
 /**
  * Maximum heartbeats without an answer at a time. If the store loses answers, each lost one stays open for most of a second; with only one at a time, two
@@ -34,7 +34,7 @@
 const maxUnansweredHeartbeats = 3;
 
 /** Silence after which an owner's work is taken over, in milliseconds: two heartbeats and twice the latency of a store that is eighty times slower than usual. */
-const silentOwnerMs = 1700;
+const maxOwnerSilenceMs = 1700;
 
 /** Time without contact with the store after which all silences are counted anew, in milliseconds: its longest regular wait and a slow answer. */
 const maxContactGapMs = 2200;
@@ -132,7 +132,7 @@
 	readonly incarnation = randomUUID();
 	readonly #settings: HostRegistrySettings;
 	readonly #failures: RepeatedFailures;
-	readonly #hosts = new Map<string, HostRow & {heardAt: number}>();
+	readonly #hosts = new Map<string, HostRow & {receivedAt: number}>();
 	readonly #gone = new Set<string>();
 	/** Incarnations that a newer process of their host has replaced, with the number of their last heartbeat. */
 	readonly #replaced = new Map<string, number>();
@@ -148,8 +148,8 @@
 	/** Time at which this process last suspected another one, on the monotonic clock like all times below. */
 	#suspectedAt = Number.NEGATIVE_INFINITY;
 	/** Time at which this process last received its own heartbeat, and since when it receives them without a gap. */
-	#ownHeardAt = Number.NEGATIVE_INFINITY;
-	#ownHeardSince = Number.POSITIVE_INFINITY;
+	#ownReceivedAt = Number.NEGATIVE_INFINITY;
+	#ownReceivedSince = Number.POSITIVE_INFINITY;
 	/** Time at which the store last refused a heartbeat of this process. */
 	#refusedAt = Number.NEGATIVE_INFINITY;
 	/** Time at which this process last owned work. */
@@ -200,13 +200,13 @@
 	/** Lists processes that have sent a heartbeat and are not known to be gone. */
 	listLive(): LiveHost[] {
 		const now = performance.now();
-		return [...this.#hosts].map(([host, {heardAt, ...row}]) => ({...row, host, silentMs: now - heardAt}));
+		return [...this.#hosts].map(([host, {receivedAt, ...row}]) => ({...row, host, silentMs: now - receivedAt}));
 	}
 
 	/** Counts samples of a model that have not started, as reported by heartbeats that are not overdue. */
 	countWaiting(model: string): number {
 		const now = performance.now();
-		return [...this.#hosts.values()].filter(({heardAt}) => now - heardAt <= suspectAfterMs).reduce((sum, {waiting}) => sum + (waiting?.[model] ?? 0), 0);
+		return [...this.#hosts.values()].filter(({receivedAt}) => now - receivedAt <= suspectAfterMs).reduce((sum, {waiting}) => sum + (waiting?.[model] ?? 0), 0);
 	}
 
 	stop(): void {
@@ -265,7 +265,7 @@
 			this.#replaced.set(known.incarnation, known.beat);
 		}
 
-		this.#hosts.set(key, {...row, heardAt: performance.now()});
+		this.#hosts.set(key, {...row, receivedAt: performance.now()});
 		if (row.clockMs !== undefined) {
 			this.#settings.onClock?.(key, row.clockMs);
 		}
@@ -300,15 +300,15 @@
 			return false;
 		}
 
-		const heardAt = [...this.#hosts.values()].find(host => host.incarnation === incarnation)?.heardAt ?? Number.NEGATIVE_INFINITY;
-		const limitMs = heardAt < ownedSince ? unheardOwnerMs : silentOwnerMs;
-		const silentMs = now - Math.max(heardAt, ownedSince, this.#silenceCountedFrom);
+		const receivedAt = [...this.#hosts.values()].find(host => host.incarnation === incarnation)?.receivedAt ?? Number.NEGATIVE_INFINITY;
+		const limitMs = receivedAt < ownedSince ? maxNewOwnerSilenceMs : maxOwnerSilenceMs;
+		const silentMs = now - Math.max(receivedAt, ownedSince, this.#silenceCountedFrom);
 		// The delay is computed only for silent processes, since it hashes the name of each host.
 		if (silentMs > suspectAfterMs && silentMs > suspectAfterMs + this.findTakeoverDelayMs(incarnation)) {
 			this.#suspect(now);
 		}
 
-		const isFeedVerified = now - this.#ownHeardAt < heartbeatValidityMs && now - this.#ownHeardSince >= minOwnFeedMs;
+		const isFeedVerified = now - this.#ownReceivedAt < heartbeatValidityMs && now - this.#ownReceivedSince >= minOwnFeedMs;
 		// A store that refuses some heartbeats of this process may also have refused those of the silent one.
 		return silentMs > limitMs && isFeedVerified && now - this.#refusedAt > limitMs;
 	}
@@ -327,23 +327,23 @@
 
 	#recordOwnHeartbeat(): void {
 		const now = performance.now();
-		if (now - this.#ownHeardAt >= heartbeatValidityMs) {
-			this.#ownHeardSince = now;
+		if (now - this.#ownReceivedAt >= heartbeatValidityMs) {
+			this.#ownReceivedSince = now;
 		}
 
-		this.#ownHeardAt = now;
+		this.#ownReceivedAt = now;
 	}
 
 	async #write(isResting: boolean): Promise<void> {
 		const {
-			rows, host, address = '', dataCentre = '', cores = 0, findLateMs, readClockMs,
+			rows, host, address = '', dataCentre = '', cores = 0, findLateMs: findEventLoopLagMs, readClockMs: readClockOffsetMs,
 		} = this.#settings;
-		const clockMs = readClockMs?.();
+		const clockMs = readClockOffsetMs?.();
 		const waiting = this.#settings.listWaiting?.() ?? {};
 		this.#unanswered += 1;
 		this.#heartbeatCount += 1;
 		const row: HostRow = {
-			incarnation: this.incarnation, beat: this.#heartbeatCount, isLeaving: this.#isLeaving, isResting, dataCentre, cores, lateMs: Math.round(findLateMs?.() ?? 0), address, clockMs,
+			incarnation: this.incarnation, beat: this.#heartbeatCount, isLeaving: this.#isLeaving, isResting, dataCentre, cores, lateMs: Math.round(findEventLoopLagMs?.() ?? 0), address, clockMs,
 			...(Object.keys(waiting).length > 0 ? {waiting} : {}),
 			...(this.#heartbeatCount % pacesEveryHeartbeats === firstPacesHeartbeat ? {paces: this.#settings.listPaces?.(maxReportedPaces)} : {}),
 		};
--- a/packages/batches/src/retained-text-finder.ts
+++ b/packages/batches/src/retained-text-finder.ts
@@ -42,7 +42,7 @@
 	 */
 	async find(submission: Submission, {shares}: BatchRecord, share: number, whenRetained: Promise<void>): Promise<Map<string, RetainedText>> {
 		const {samples, wantedGroups, step, customer} = submission;
-		const {keptTexts, log} = this.#settings;
+		const {keptTexts: retainedTexts, log} = this.#settings;
 		const ours = new Set(listShareSamples(submission, share, shares.length).flatMap(({group}) => group ?? []));
 		const groups = [...new Set(samples.flatMap(({group}) => group ?? []))].slice(0, Math.ceil(wantedGroups * carriedOverFraction)).filter(group => ours.has(group));
 		if (step === 0 || groups.length === 0) {
@@ -51,7 +51,7 @@
 
 		await whenRetained;
 		try {
-			const found = await Promise.all(groups.map(async group => keptTexts.findGroup(scopeToCustomer(customer, group))));
+			const found = await Promise.all(groups.map(async group => retainedTexts.findGroup(scopeToCustomer(customer, group))));
 			return new Map(found.flatMap(texts => [...texts]));
 		} catch (error) {
 			log.warn('texts_not_found', {reason: describeError(error)});
