--- a/packages/decisions/__tests__/admission.spec.ts
+++ b/packages/decisions/__tests__/admission.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {Admission, DrainRate, type Applicant} from '../src/index.js';
+import {Admission, DrainRate, type AdmissionRequest} from '../src/index.js';
 
 const bounds = {
 	count: 1000, work: 10_000, callerCount: 100, callerWork: 5000,
@@ -7,14 +7,14 @@
 
 let ids = 0;
 
-function createApplicant(changes: Partial<Applicant> = {}): Applicant {
+function createApplicant(changes: Partial<AdmissionRequest> = {}): AdmissionRequest {
 	ids += 1;
 	return {
 		id: `r${ids}`, class: 'interactive', caller: 'a', share: 1, cost: 1, deadlineAt: 10_000, serviceMs: 10, ...changes,
 	};
 }
 
-function reserveMany(admission: Admission, count: number, changes: Partial<Applicant>): void {
+function reserveMany(admission: Admission, count: number, changes: Partial<AdmissionRequest>): void {
 	for (let i = 0; i < count; i++) {
 		admission.reserve(createApplicant(changes), 0, 1);
 	}
@@ -50,9 +50,9 @@
 		reserveMany(admission, 50, {
 			class: 'rollout', caller: 'r', cost: 50, deadlineAt: 1e9,
 		});
-		expect(admission.estimateWait(createApplicant({caller: 'i'}), 1)).to.equal(0);
+		expect(admission.estimateWaitMs(createApplicant({caller: 'i'}), 1)).to.equal(0);
 		reserveMany(admission, 10, {caller: 'j', cost: 5});
-		expect(admission.estimateWait(createApplicant({class: 'rollout', caller: 's', cost: 100}), 1)).to.equal(50 + 300);
+		expect(admission.estimateWaitMs(createApplicant({class: 'rollout', caller: 's', cost: 100}), 1)).to.equal(50 + 300);
 	});
 
 	it('bounds the line in count and in work', () => {
--- a/packages/decisions/__tests__/checkpoint-order.spec.ts
+++ b/packages/decisions/__tests__/checkpoint-order.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
-import {orderCheckpoint, type OpenText} from '../src/index.js';
+import {orderCheckpoint, type UnfinishedGeneration} from '../src/index.js';
 
-function createText(id: string, changes: Partial<OpenText> = {}): OpenText {
+function createText(id: string, changes: Partial<UnfinishedGeneration> = {}): UnfinishedGeneration {
 	return {
 		id, events: 40, writtenEvents: 20, lacking: 4, ...changes,
 	};
--- a/packages/decisions/__tests__/expected-room.spec.ts
+++ b/packages/decisions/__tests__/expected-headroom.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
-import {findSlowPace, isRoomExpected, type KnownRoom} from '../src/index.js';
+import {findSlowPace, isRoomExpected, type EndpointOccupancy} from '../src/index.js';
 
-function createRoom(changes: Partial<KnownRoom> = {}): KnownRoom {
+function createRoom(changes: Partial<EndpointOccupancy> = {}): EndpointOccupancy {
 	return {
 		slots: 4, open: 0, others: 0, ageMs: 0, workMs: 40, ...changes,
 	};
--- a/packages/decisions/__tests__/load-timing.spec.ts
+++ b/packages/decisions/__tests__/load-timing.spec.ts
@@ -1,11 +1,11 @@
 import {expect} from 'chai';
-import {shouldLoad, type LoadOccasion} from '../src/index.js';
+import {shouldLoad, type PublishedVersion} from '../src/index.js';
 
 const loadMs = 1000;
 const textMs = 1000;
 const slotsEach = 6;
 
-function createOccasion(changed: Partial<LoadOccasion> = {}): LoadOccasion {
+function createOccasion(changed: Partial<PublishedVersion> = {}): PublishedVersion {
 	return {
 		sinceMs: 500, waiting: 0, endpoints: 8, width: 4, loadMs, intervalMs: 4000, ...changed,
 	};
@@ -16,7 +16,7 @@
  *
  * @returns when its last text begins and when the last endpoint has loaded, in milliseconds
  */
-function replay(texts: number, decide: (occasion: LoadOccasion) => boolean): {begunMs: number; loadedMs: number} {
+function replay(texts: number, decide: (occasion: PublishedVersion) => boolean): {begunMs: number; loadedMs: number} {
 	const endpoints = Array.from({length: 8}, () => ({loadsUntil: 0, isNew: false, ends: Array.from({length: slotsEach}, () => 0)}));
 	let waiting = texts;
 	let begunMs = 0;
--- a/packages/decisions/__tests__/model-placement.spec.ts
+++ b/packages/decisions/__tests__/model-assignment.spec.ts
@@ -1,12 +1,12 @@
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
-import {placeModels, type ModelHolder, type ModelNeed} from '../src/index.js';
+import {placeModels, type ModelEndpoint, type ModelNeed} from '../src/index.js';
 
-function createHolder(id: string, versions: Record<string, number>, paceMs?: number): ModelHolder {
+function createHolder(id: string, versions: Record<string, number>, paceMs?: number): ModelEndpoint {
 	return {id, versions: new Map(Object.entries(versions)), paceMs};
 }
 
-function place(holders: readonly ModelHolder[], published: Record<string, number> = {}, needs: Record<string, ModelNeed> = {}): Map<string, readonly string[]> {
+function place(holders: readonly ModelEndpoint[], published: Record<string, number> = {}, needs: Record<string, ModelNeed> = {}): Map<string, readonly string[]> {
 	return placeModels({holders, published: new Map(Object.entries(published)), needs: new Map(Object.entries(needs))});
 }
 
@@ -20,7 +20,7 @@
 }
 
 /** What the endpoints hold once they have followed their places for some versions. */
-function follow(holders: readonly ModelHolder[], placed: ReadonlyMap<string, readonly string[]>, published: Record<string, number>): ModelHolder[] {
+function follow(holders: readonly ModelEndpoint[], placed: ReadonlyMap<string, readonly string[]>, published: Record<string, number>): ModelEndpoint[] {
 	return holders.map(({id, versions, paceMs}) => {
 		const [model] = placed.get(id)!;
 		return {id, versions: new Map([...versions, [model!, published[model!]!]]), paceMs};
--- a/packages/decisions/__tests__/renewals.spec.ts
+++ b/packages/decisions/__tests__/regenerations.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
-import {chooseRenewals, type RenewableText} from '../src/index.js';
+import {chooseRenewals, type RegenerationCandidate} from '../src/index.js';
 
-function createText(changes: Partial<RenewableText> = {}): RenewableText {
+function createText(changes: Partial<RegenerationCandidate> = {}): RegenerationCandidate {
 	return {
 		id: 'a', events: 100, oldestVersion: 1, isRenewed: false, ...changes,
 	};
--- a/packages/decisions/__tests__/retries.spec.ts
+++ b/packages/decisions/__tests__/retries.spec.ts
@@ -1,16 +1,16 @@
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
 import {
-	decideRetry, Hedging, RetryBudget, type Failure,
+	decideRetry, Hedging, RetryBudget, type FailedAttempt,
 } from '../src/index.js';
 
-function createFailure(changes: Partial<Failure> = {}): Failure {
+function createFailure(changes: Partial<FailedAttempt> = {}): FailedAttempt {
 	return {
 		caller: 'a', ran: 'unknown', isIdempotent: true, isRefusal: false, attempts: 1, refusals: 0, deadlineAt: 10_000, serviceMs: 100, ...changes,
 	};
 }
 
-function decide(changes: Partial<Failure>, budget = new RetryBudget()) {
+function decide(changes: Partial<FailedAttempt>, budget = new RetryBudget()) {
 	return decideRetry(createFailure(changes), budget, new Random(1), 0);
 }
 
--- a/packages/decisions/__tests__/routing.spec.ts
+++ b/packages/decisions/__tests__/routing.spec.ts
@@ -56,7 +56,7 @@
 
 	it('goes to another data centre only when the near ones cost more than the way', () => {
 		const far = createCandidate('far', {dataCentre: 'muroran'});
-		const options = {dataCentre: 'tomakomai', spillMs: 25};
+		const options = {dataCentre: 'tomakomai', spilloverMs: 25};
 		expect(countChoices([createCandidate('near', {dataCentre: 'tomakomai', load: 1}), far], options)).to.deep.equal({near: 1000});
 		expect(countChoices([createCandidate('near', {dataCentre: 'tomakomai', load: 8}), far], options)).to.deep.equal({far: 1000});
 	});
--- a/packages/decisions/__tests__/speed-model.spec.ts
+++ b/packages/decisions/__tests__/speed-model.spec.ts
@@ -33,7 +33,7 @@
 		model.recordRun(26);
 		recordUnits(78);
 		model.recordRun(78);
-		expect(model.speed).to.deep.equal({classMs: 26, spell: 3, moment: 1});
+		expect(model.speed).to.deep.equal({classMs: 26, spell: 3, transientFactor: 1});
 		clock.tick(2000);
 		expect(model.expectedMs).to.equal(26);
 	});
@@ -51,15 +51,15 @@
 	it('forgets a wrong guess, whether too fast or too slow', () => {
 		model.guessClass(20);
 		model.recordRun(56);
-		expect(model.classMs).to.equal(20);
+		expect(model.persistentMs).to.equal(20);
 		for (let i = 0; i < 8; i += 1) {
 			model.recordRun(56);
 		}
 
-		expect(model.classMs).to.equal(56);
+		expect(model.persistentMs).to.equal(56);
 		const slow = new SpeedModel();
 		slow.guessClass(56);
 		slow.recordRun(26);
-		expect(slow.classMs).to.equal(26);
+		expect(slow.persistentMs).to.equal(26);
 	});
 });
--- a/packages/decisions/__tests__/step-order.spec.ts
+++ b/packages/decisions/__tests__/step-order.spec.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {
-	chooseSample, divideSlots, LengthPrediction, orderSamples, planCopies, type Straggler, type TrainerNeed,
+	chooseSample, divideSlots, LengthPrediction, orderSamples, planCopies, type Straggler, type TrainerDemand,
 } from '../src/index.js';
 
 function createGroup(group: number, predictedTokens: number, changes = {}) {
@@ -105,9 +105,9 @@
 });
 
 describe('divideSlots', () => {
-	function createNeed(trainer: string, changes: Partial<TrainerNeed> = {}): TrainerNeed {
+	function createNeed(trainer: string, changes: Partial<TrainerDemand> = {}): TrainerDemand {
 		return {
-			trainer, share: 1, remainingTokens: 0, deadlineAt: 100_000, usableSlots: 100, nextSlots: 0, ...changes,
+			trainer, share: 1, remainingTokens: 0, deadlineAt: 100_000, usableSlots: 100, nextStepSlots: 0, ...changes,
 		};
 	}
 
@@ -127,7 +127,7 @@
 
 	it('lets the next step\'s work fill the tail', () => {
 		const slots = divideSlots([
-			createNeed('tail', {remainingTokens: 1000, usableSlots: 4, nextSlots: 100}),
+			createNeed('tail', {remainingTokens: 1000, usableSlots: 4, nextStepSlots: 100}),
 			createNeed('other', {remainingTokens: 10_000, usableSlots: 20}),
 		], 48, 0.01, 0);
 		expect([slots.get('tail'), slots.get('other')]).to.deep.equal([28, 20]);
--- a/packages/decisions/__tests__/uneven-endpoints.spec.ts
+++ b/packages/decisions/__tests__/uneven-endpoints.spec.ts
@@ -122,14 +122,14 @@
 
 	it('never moves a text in its first five events, unless its endpoint has turned slow', () => {
 		const text = {madeHere: 3, unitsLeft: 100, dueInMs: 2000};
-		expect([1, 3].map(spell => isAtRisk(text, {classMs: 56, spell, moment: 1}))).to.deep.equal([false, true]);
-		expect(isAtRisk({...text, madeHere: 5}, {classMs: 56, spell: 1, moment: 1})).to.equal(true);
+		expect([1, 3].map(spell => isAtRisk(text, {classMs: 56, spell, transientFactor: 1}))).to.deep.equal([false, true]);
+		expect(isAtRisk({...text, madeHere: 5}, {classMs: 56, spell: 1, transientFactor: 1})).to.equal(true);
 	});
 
 	it('stays at an endpoint that is merely full, where an idle one is of the same class', () => {
 		const text = {madeHere: 20, unitsLeft: 100, dueInMs: 2000};
-		expect(gainsBy(text, {classMs: 56, spell: 1, moment: 1}, {classMs: 26, spell: 2, moment: 1})).to.equal(true);
-		expect([2, 2.5].map(spell => gainsBy(text, {classMs: 56, spell, moment: 1}, {classMs: 56, spell: 1, moment: 1}))).to.deep.equal([false, true]);
+		expect(gainsBy(text, {classMs: 56, spell: 1, transientFactor: 1}, {classMs: 26, spell: 2, transientFactor: 1})).to.equal(true);
+		expect([2, 2.5].map(spell => gainsBy(text, {classMs: 56, spell, transientFactor: 1}, {classMs: 56, spell: 1, transientFactor: 1}))).to.deep.equal([false, true]);
 	});
 });
 
--- a/packages/decisions/src/attempt-pause.ts
+++ b/packages/decisions/src/attempt-backoff.ts
@@ -9,49 +9,49 @@
  */
 
 /** Shortest and longest pause, in milliseconds. */
-export type PauseBounds = {firstMs: number; longestMs: number};
+export type BackoffBounds = {firstMs: number; longestMs: number};
 
 /** What an endpoint was found wanting in, and when it may be asked again. */
 export class AttemptPause {
-	readonly #bounds: PauseBounds;
-	#count = 0;
-	#until = Number.NEGATIVE_INFINITY;
-	#isTrying = false;
+	readonly #bounds: BackoffBounds;
+	#failures = 0;
+	#backoffUntil = Number.NEGATIVE_INFINITY;
+	#hasTrialAttempt = false;
 
-	constructor(bounds: PauseBounds) {
+	constructor(bounds: BackoffBounds) {
 		this.#bounds = bounds;
 	}
 
 	/** Whether an attempt may be made now. */
 	get isOpen(): boolean {
-		return performance.now() >= this.#until && !this.#isTrying;
+		return performance.now() >= this.#backoffUntil && !this.#hasTrialAttempt;
 	}
 
 	/** Notes that an attempt is made. */
 	begin(): void {
-		this.#isTrying = this.#count > 0;
+		this.#hasTrialAttempt = this.#failures > 0;
 	}
 
 	/** Notes that an attempt has ended, whatever came of it. */
 	end(): void {
-		this.#isTrying = false;
+		this.#hasTrialAttempt = false;
 	}
 
 	/** Notes a refusal, a silence or the like. */
 	record(): void {
-		this.#isTrying = false;
+		this.#hasTrialAttempt = false;
 		// Of those at the same time one counts.
-		if (performance.now() < this.#until) {
+		if (performance.now() < this.#backoffUntil) {
 			return;
 		}
 
 		const {firstMs, longestMs} = this.#bounds;
-		this.#until = performance.now() + Math.min(longestMs, firstMs * (2 ** this.#count));
-		this.#count += 1;
+		this.#backoffUntil = performance.now() + Math.min(longestMs, firstMs * (2 ** this.#failures));
+		this.#failures += 1;
 	}
 
 	recordSuccess(): void {
-		this.#count = 0;
-		this.#isTrying = false;
+		this.#failures = 0;
+		this.#hasTrialAttempt = false;
 	}
 }
--- a/packages/decisions/src/batch-shares.ts
+++ b/packages/decisions/src/batch-shares.ts
@@ -10,13 +10,13 @@
 import {rankCandidate} from '@wasabiusher/shared';
 
 /** Samples of one share: with texts of an event each 40 ms, some 800 events a second, a tenth of a core. */
-const shareSamples = 32;
+const samplesPerShare = 32;
 
 /**
  * Most shares of one batch. All append to one list in a part of the store that takes 300 transactions a second; sixteen workers that commit five
  * times a second each leave three quarters of that to other batches.
  */
-const mostShares = 16;
+const maxShares = 16;
 
 /** Hosts for each share that there may be: what is left carries callers, and steps in the place of what fails. */
 const hostsPerShare = 4;
@@ -31,11 +31,11 @@
 const samplesPerCore = 100;
 
 /** Longest silence of a host that works, in milliseconds: two heartbeats. */
-const maxSilentMs = 900;
+const maxHeartbeatAgeMs = 900;
 
 /** Lateness from which a host has more to do than it can, and from which it is given nothing new, in milliseconds: an event comes every 40. */
-const maxLateMs = 40;
-const maxNewLateMs = 10;
+const maxEventLoopLagMs = 40;
+const maxNewShareEventLoopLagMs = 10;
 
 /** What is known of a host that could work on a share. */
 export type WorkerCandidate = {
@@ -82,17 +82,17 @@
 
 /** Number of shares into which a batch is divided. */
 export function countShares({samples, groups, hosts, endpoints}: ShareRequest): number {
-	const most = Math.min(mostShares, Math.floor(hosts / hostsPerShare), Math.floor(endpoints / endpointsPerShare), groups);
-	return Math.max(1, Math.min(Math.ceil(samples / shareSamples), most));
+	const max = Math.min(maxShares, Math.floor(hosts / hostsPerShare), Math.floor(endpoints / endpointsPerShare), groups);
+	return Math.max(1, Math.min(Math.ceil(samples / samplesPerShare), max));
 }
 
 /** Whether a host goes on with the work that it has. */
-function isSound({isResting, silentMs, lateMs}: WorkerCandidate): boolean {
-	return (isResting || silentMs <= maxSilentMs) && lateMs <= maxLateMs;
+function canKeepShare({isResting, silentMs, lateMs}: WorkerCandidate): boolean {
+	return (isResting || silentMs <= maxHeartbeatAgeMs) && lateMs <= maxEventLoopLagMs;
 }
 
 /** Samples that a host can still be given; one that has not told its size counts as one core. */
-function findRoom({cores, samples}: WorkerCandidate): number {
+function countFreeSamples({cores, samples}: WorkerCandidate): number {
 	return ((cores || 1) * samplesPerCore) - samples;
 }
 
@@ -107,34 +107,34 @@
 	const byId = new Map(candidates.map(candidate => [candidate.id, candidate]));
 	const chosen: Array<WorkerCandidate | undefined> = Array.from({length: count}, (_, i) => {
 		const candidate = byId.get(last[i] ?? '');
-		return candidate && isSound(candidate) && findRoom(candidate) >= samples ? candidate : undefined;
+		return candidate && canKeepShare(candidate) && countFreeSamples(candidate) >= samples ? candidate : undefined;
 	});
 	for (const [i, kept] of chosen.entries()) {
 		const taken = new Set(chosen.flatMap(worker => worker ? [worker.id] : []));
-		const free = candidates.filter(candidate => !taken.has(candidate.id) && isSound(candidate) && candidate.lateMs <= maxNewLateMs);
-		chosen[i] = kept ?? chooseNew(free, {samples, rank, wanted: findWantedPlace(endpoints, chosen)});
+		const free = candidates.filter(candidate => !taken.has(candidate.id) && canKeepShare(candidate) && candidate.lateMs <= maxNewShareEventLoopLagMs);
+		chosen[i] = kept ?? chooseNewWorker(free, {samples, rank, preferredDataCentre: findPreferredDataCentre(endpoints, chosen)});
 	}
 
 	return chosen.flatMap(worker => worker ? [worker.id] : []);
 }
 
-type NewWorkerRequest = Pick<WorkerRequest, 'samples' | 'rank'> & {wanted: string | undefined};
+type NewWorkerRequest = Pick<WorkerRequest, 'samples' | 'rank'> & {preferredDataCentre: string | undefined};
 
-function chooseNew(free: readonly WorkerCandidate[], {samples, rank, wanted}: NewWorkerRequest): WorkerCandidate | undefined {
-	return free.toSorted((a, b) => Number(findRoom(b) >= samples) - Number(findRoom(a) >= samples)
+function chooseNewWorker(free: readonly WorkerCandidate[], {samples, rank, preferredDataCentre: wanted}: NewWorkerRequest): WorkerCandidate | undefined {
+	return free.toSorted((a, b) => Number(countFreeSamples(b) >= samples) - Number(countFreeSamples(a) >= samples)
 		|| Number(b.isHere) - Number(a.isHere)
 		|| Number(b.dataCentre === wanted) - Number(a.dataCentre === wanted)
-		|| findRoom(b) - findRoom(a)
+		|| countFreeSamples(b) - countFreeSamples(a)
 		|| rank(b.id) - rank(a.id))[0];
 }
 
 /** The data centre with the most endpoints for each worker in it. */
-function findWantedPlace(endpoints: ReadonlyMap<string, number>, chosen: ReadonlyArray<WorkerCandidate | undefined>): string | undefined {
-	const weights = [...endpoints].map(([dataCentre, count]) => {
+function findPreferredDataCentre(endpoints: ReadonlyMap<string, number>, chosen: ReadonlyArray<WorkerCandidate | undefined>): string | undefined {
+	const endpointsPerWorker = [...endpoints].map(([dataCentre, count]) => {
 		const workers = chosen.filter(worker => worker?.dataCentre === dataCentre).length;
 		return {dataCentre, weight: count / (workers + 1)};
 	});
-	return weights.toSorted((a, b) => b.weight - a.weight)[0]?.dataCentre;
+	return endpointsPerWorker.toSorted((a, b) => b.weight - a.weight)[0]?.dataCentre;
 }
 
 /** A group of samples that is not divided. */
@@ -155,9 +155,9 @@
 	const ordered = groups.toSorted((a, b) => b.longest - a.longest);
 	for (const [i, {id}] of ordered.entries()) {
 		const round = Math.floor(i / count);
-		const place = i % count;
+		const indexInRound = i % count;
 		// Each round goes the other way, so that nobody has the longer one each time.
-		shares[round % 2 === 0 ? place : count - 1 - place]!.push(id);
+		shares[round % 2 === 0 ? indexInRound : count - 1 - indexInRound]!.push(id);
 	}
 
 	return shares;
@@ -179,28 +179,28 @@
  * refuses what is beyond its queue. With endpoints of its own, a worker knows what is open there. Each share has as many long texts as the others, so
  * each gets its part of the fast endpoints.
  *
- * @param places - data centre of the worker of each share
+ * @param workerDataCentres - data centre of the worker of each share
  * @returns ids by the share; with fewer endpoints than shares some have none
  */
-export function divideEndpoints(endpoints: readonly SharedEndpoint[], places: readonly string[]): string[][] {
-	const shares = places.map((dataCentre, share) => ({dataCentre, name: String(share), ids: [] as string[]}));
-	const count = Math.max(1, places.length);
-	const take = (endpoint: SharedEndpoint, from: typeof shares, most: number) => {
+export function divideEndpoints(endpoints: readonly SharedEndpoint[], workerDataCentres: readonly string[]): string[][] {
+	const shares = workerDataCentres.map((dataCentre, share) => ({dataCentre, name: String(share), ids: [] as string[]}));
+	const count = Math.max(1, workerDataCentres.length);
+	const assign = (endpoint: SharedEndpoint, from: typeof shares, most: number) => {
 		const [best] = from.filter(({ids}) => ids.length < most).toSorted((a, b) => rankCandidate(endpoint.id, b.name) - rankCandidate(endpoint.id, a.name));
 		best?.ids.push(endpoint.id);
 		return best !== undefined;
 	};
 
-	const divide = (some: readonly SharedEndpoint[], most: number) => {
-		const far = some.toSorted((a, b) => a.id < b.id ? -1 : 1)
-			.filter(endpoint => !take(endpoint, shares.filter(({dataCentre}) => dataCentre === endpoint.dataCentre), most));
-		for (const endpoint of far) {
-			take(endpoint, shares, most);
+	const assignAll = (some: readonly SharedEndpoint[], most: number) => {
+		const unassigned = some.toSorted((a, b) => a.id < b.id ? -1 : 1)
+			.filter(endpoint => !assign(endpoint, shares.filter(({dataCentre}) => dataCentre === endpoint.dataCentre), most));
+		for (const endpoint of unassigned) {
+			assign(endpoint, shares, most);
 		}
 	};
 
 	const fast = endpoints.filter(({isFast}) => isFast);
-	divide(fast, Math.ceil(fast.length / count));
-	divide(endpoints.filter(({isFast}) => !isFast), Math.ceil(endpoints.length / count));
+	assignAll(fast, Math.ceil(fast.length / count));
+	assignAll(endpoints.filter(({isFast}) => !isFast), Math.ceil(endpoints.length / count));
 	return shares.map(({ids}) => ids);
 }
--- a/packages/decisions/src/best-pace.ts
+++ b/packages/decisions/src/best-pace.ts
@@ -6,35 +6,35 @@
  */
 
 /** Time for which a best pace is gathered, in milliseconds; it counts for up to twice as long. Slow spells last five to eight seconds. */
-const spanMs = 10_000;
+const windowMs = 10_000;
 
 /** The least of the paces of two spans. */
 export class BestPace {
-	#spanFrom = Number.NEGATIVE_INFINITY;
-	#present: number | undefined;
-	#last: number | undefined;
+	#windowStartedAt = Number.NEGATIVE_INFINITY;
+	#currentMs: number | undefined;
+	#previousMs: number | undefined;
 
 	/** Takes in a pace, in milliseconds for a unit of work. */
 	record(unitMs: number): void {
 		this.#advance();
-		this.#present = Math.min(this.#present ?? Number.POSITIVE_INFINITY, unitMs);
+		this.#currentMs = Math.min(this.#currentMs ?? Number.POSITIVE_INFINITY, unitMs);
 	}
 
 	/** The best pace, in milliseconds for a unit of work; undefined if none was recorded lately. */
 	get unitMs(): number | undefined {
 		this.#advance();
-		const known = [this.#present, this.#last].filter(value => value !== undefined);
+		const known = [this.#currentMs, this.#previousMs].filter(value => value !== undefined);
 		return known.length === 0 ? undefined : Math.min(...known);
 	}
 
 	#advance(): void {
 		const now = performance.now();
-		if (now - this.#spanFrom < spanMs) {
+		if (now - this.#windowStartedAt < windowMs) {
 			return;
 		}
 
-		this.#last = now - this.#spanFrom < 2 * spanMs ? this.#present : undefined;
-		this.#present = undefined;
-		this.#spanFrom = now;
+		this.#previousMs = now - this.#windowStartedAt < 2 * windowMs ? this.#currentMs : undefined;
+		this.#currentMs = undefined;
+		this.#windowStartedAt = now;
 	}
 }
--- a/packages/decisions/src/burn.ts
+++ b/packages/decisions/src/burn-rate.ts
@@ -43,7 +43,7 @@
 const bucketMs = 60_000;
 
 /** Bad events without which no alert fires: one alone is no trend, however few requests there are. */
-const minBad = 2;
+const minBadEvents = 2;
 
 /** Events of a window. */
 export type WindowCounts = {
@@ -130,7 +130,7 @@
 	partial: BurnWindow[];
 };
 
-function findRate({good, total}: WindowCounts, target: number): number | undefined {
+function findBurnRate({good, total}: WindowCounts, target: number): number | undefined {
 	return total === 0 ? undefined : (1 - (good / total)) / (1 - target);
 }
 
@@ -140,13 +140,13 @@
  * @param target - fraction of events that must be good, in (0, 1)
  */
 export function judgeBurn(target: number, counts: BurnCounts): BurnJudgement {
-	const rates = mapBurnWindows(window => findRate(counts[window], target));
+	const rates = mapBurnWindows(window => findBurnRate(counts[window], target));
 	const budgetRate = rates[budgetWindow];
 	return {
 		rates,
 		budgetLeft: budgetRate === undefined ? undefined : 1 - budgetRate,
 		alerts: burnAlerts
-			.filter(({long, short, rate}) => [long, short].every(window => (rates[window] ?? 0) >= rate && countBad(counts[window]) >= minBad))
+			.filter(({long, short, rate}) => [long, short].every(window => (rates[window] ?? 0) >= rate && countBad(counts[window]) >= minBadEvents))
 			.map(({name}) => name),
 		empty: burnWindowNames.filter(window => counts[window].total === 0),
 		partial: burnWindowNames.filter(window => counts[window].coveredMs < burnWindows[window]),
--- a/packages/decisions/src/caller-line.ts
+++ b/packages/decisions/src/caller-queue.ts
@@ -9,7 +9,7 @@
  */
 import type {PriorityClass} from '@wasabiusher/shared';
 import {IndexedHeap, type HeapItem} from './indexed-heap.js';
-import {TurnClock} from './turn-clock.js';
+import {TurnClock} from './flow-clock.js';
 
 /** What the order is decided by. */
 export type Ticket = {
@@ -27,12 +27,12 @@
 };
 
 /** A waiting job and its place in its caller's line. */
-export type Entry<Job> = {
+export type QueuedJob<Job> = {
 	ticket: Ticket;
 	job: Job;
 	flow?: Flow<Job>;
-	previous?: Entry<Job>;
-	next?: Entry<Job>;
+	previous?: QueuedJob<Job>;
+	next?: QueuedJob<Job>;
 };
 
 /** The jobs of one caller at one priority, first come first served. */
@@ -42,8 +42,8 @@
 	start: number;
 	/** Breaks ties in order of arrival. */
 	order: number;
-	head?: Entry<Job>;
-	tail?: Entry<Job>;
+	head?: QueuedJob<Job>;
+	tail?: QueuedJob<Job>;
 };
 
 /**
@@ -53,13 +53,13 @@
 const weightPerPriority = 2;
 
 /** The priority at which the weight is the profile's share. */
-const middlePriority = 5;
+const neutralPriority = 5;
 
 /** Least work charged for a job, so that jobs stated to cost nothing still take turns. */
 const minCost = 1e-3;
 
 /** Jobs of one class in fair order. */
-export class CallerLine<Job> {
+export class CallerQueue<Job> {
 	readonly #flows = new Map<string, Flow<Job>>();
 	readonly #clock = new TurnClock();
 	readonly #heap = new IndexedHeap<Flow<Job>>((a, b) => a.start < b.start || (a.start === b.start && a.order < b.order));
@@ -70,12 +70,12 @@
 	}
 
 	/** The job whose turn it is, left in its place. */
-	get first(): Entry<Job> | undefined {
+	get first(): QueuedJob<Job> | undefined {
 		return this.#heap.first?.head;
 	}
 
-	push(entry: Entry<Job>): void {
-		const flow = this.#findFlow(entry.ticket);
+	push(entry: QueuedJob<Job>): void {
+		const flow = this.#findOrAddFlow(entry.ticket);
 		entry.flow = flow;
 		entry.previous = flow.tail;
 		if (flow.tail) {
@@ -88,12 +88,12 @@
 	}
 
 	/** Takes the job whose turn it is and charges its caller. */
-	pop(): Entry<Job> | undefined {
+	pop(): QueuedJob<Job> | undefined {
 		const entry = this.first;
 		if (entry) {
 			const flow = entry.flow!;
 			this.#clock.advance(flow.start);
-			flow.start += Math.max(minCost, entry.ticket.cost) / weigh(entry.ticket);
+			flow.start += Math.max(minCost, entry.ticket.cost) / findWeight(entry.ticket);
 			this.#unlink(entry);
 		}
 
@@ -101,11 +101,11 @@
 	}
 
 	/** Takes out a job whose turn has not come; its caller is not charged. */
-	remove(entry: Entry<Job>): void {
+	remove(entry: QueuedJob<Job>): void {
 		this.#unlink(entry);
 	}
 
-	#findFlow({caller, priority}: Ticket): Flow<Job> {
+	#findOrAddFlow({caller, priority}: Ticket): Flow<Job> {
 		const key = `${priority}/${caller}`;
 		let flow = this.#flows.get(key);
 		if (!flow) {
@@ -120,7 +120,7 @@
 		return flow;
 	}
 
-	#unlink(entry: Entry<Job>): void {
+	#unlink(entry: QueuedJob<Job>): void {
 		const flow = entry.flow!;
 		if (entry.previous) {
 			entry.previous.next = entry.next;
@@ -137,17 +137,17 @@
 		if (flow.head) {
 			this.#heap.update(flow);
 		} else {
-			this.#retire(flow);
+			this.#removeFlow(flow);
 		}
 	}
 
-	#retire(flow: Flow<Job>): void {
+	#removeFlow(flow: Flow<Job>): void {
 		this.#heap.remove(flow);
 		this.#flows.delete(flow.key);
 		this.#clock.leave(flow.key, flow.start);
 	}
 }
 
-function weigh({share, priority}: Ticket): number {
-	return share * (weightPerPriority ** (priority - middlePriority));
+function findWeight({share, priority}: Ticket): number {
+	return share * (weightPerPriority ** (priority - neutralPriority));
 }
--- a/packages/decisions/src/checkpoint-order.ts
+++ b/packages/decisions/src/checkpoint-order.ts
@@ -7,7 +7,7 @@
  */
 
 /** An unfinished text. */
-export type OpenText = {
+export type UnfinishedGeneration = {
 	id: string;
 	/** Events made, and how many of them are written down. */
 	events: number;
@@ -17,17 +17,17 @@
 };
 
 /** Events that a text must have grown by to be written again; fewer are made anew in a quarter of a second. */
-const leastGrowth = 6;
+const minNewEvents = 6;
 
 /** Ids of the texts to write, the one first whose loss would hold its step up most: long, much of it unwritten, and few others lacking in its group. */
-export function orderCheckpoint(texts: readonly OpenText[]): string[] {
+export function orderCheckpoint(texts: readonly UnfinishedGeneration[]): string[] {
 	return texts
-		.filter(({events, writtenEvents}) => events - writtenEvents >= leastGrowth)
-		.map(text => ({id: text.id, worth: measureWorth(text)}))
+		.filter(({events, writtenEvents}) => events - writtenEvents >= minNewEvents)
+		.map(text => ({id: text.id, worth: findWorth(text)}))
 		.toSorted((a, b) => b.worth - a.worth)
 		.map(({id}) => id);
 }
 
-function measureWorth({events, writtenEvents, lacking}: OpenText): number {
+function findWorth({events, writtenEvents, lacking}: UnfinishedGeneration): number {
 	return (events - writtenEvents) * events / Math.max(1, lacking);
 }
--- a/packages/decisions/src/commit-order.ts
+++ b/packages/decisions/src/commit-order.ts
@@ -2,7 +2,7 @@
  * Which results are written first when more wait than one transaction takes, and which list of them goes first.
  *
  * Load pattern: a store that was silent for seconds answers again while each host holds dozens of whole texts of several steps. A trainer goes on
- * when enough groups are whole, so a result whose group lacks others is worth nothing yet, and one list's old results must not hold up
+ * when enough groups are whole, so a result whose group missing others is worth nothing yet, and one list's old results must not hold up
  * those that another step waits for.
  */
 
@@ -32,19 +32,19 @@
 };
 
 /** One turn in so many goes to the list that has waited longest, so that no list waits for ever. */
-const oldestTurns = 4;
+const roundsPerOldest = 4;
 
 /**
  * The results of the next transaction: those of groups that become whole by it first, then of groups that lack the fewest, then the oldest.
  * There is at least one if any waits, however great it is.
  *
  * @param waiting - the results of each group that wait, the oldest first
- * @param lacking - samples of each group that have no written result
+ * @param missing - samples of each group that have no written result
  */
-export function planCommit<Result extends WaitingResult>(waiting: ReadonlyMap<string, readonly Result[]>, lacking: ReadonlyMap<string, number>, limits: CommitLimits): Result[] {
+export function planCommit<Result extends WaitingResult>(waiting: ReadonlyMap<string, readonly Result[]>, missing: ReadonlyMap<string, number>, limits: CommitLimits): Result[] {
 	const taken: Result[] = [];
 	let bytes = 0;
-	for (const {results} of orderGroups(waiting, lacking)) {
+	for (const {results} of orderGroups(waiting, missing)) {
 		for (const result of results) {
 			bytes += result.bytes;
 			if (taken.length > 0 && (taken.length >= limits.results || bytes > limits.bytes)) {
@@ -59,22 +59,22 @@
 }
 
 /** Groups that become whole by writing some results. */
-export function countCompleted(written: readonly WaitingResult[], lacking: ReadonlyMap<string, number>): number {
+export function countCompleted(written: readonly WaitingResult[], missing: ReadonlyMap<string, number>): number {
 	const counts = new Map<string, number>();
 	for (const {group} of written) {
 		counts.set(group, (counts.get(group) ?? 0) + 1);
 	}
 
-	return [...counts].filter(([group, count]) => count >= (lacking.get(group) ?? 0)).length;
+	return [...counts].filter(([group, count]) => count >= (missing.get(group) ?? 0)).length;
 }
 
 /**
  * The list that writes next; undefined if there is none.
  *
- * @param turn - counts up by one with each choice
+ * @param round - counts up by one with each choice
  */
-export function chooseCommit<List extends {demand: CommitDemand}>(lists: readonly List[], turn: number): List | undefined {
-	const compare = turn % oldestTurns === oldestTurns - 1 ? compareAges : compareDemands;
+export function chooseCommit<List extends {demand: CommitDemand}>(lists: readonly List[], round: number): List | undefined {
+	const compare = round % roundsPerOldest === roundsPerOldest - 1 ? compareByAge : compareByDemand;
 	let best: List | undefined;
 	for (const list of lists) {
 		if (!best || compare(list.demand, best.demand) < 0) {
@@ -85,21 +85,21 @@
 	return best;
 }
 
-type WaitingGroup<Result> = {results: readonly Result[]; lacks: number; addedAt: number};
+type WaitingGroup<Result> = {results: readonly Result[]; missing: number; addedAt: number};
 
-function orderGroups<Result extends WaitingResult>(waiting: ReadonlyMap<string, readonly Result[]>, lacking: ReadonlyMap<string, number>): Array<WaitingGroup<Result>> {
+function orderGroups<Result extends WaitingResult>(waiting: ReadonlyMap<string, readonly Result[]>, missing: ReadonlyMap<string, number>): Array<WaitingGroup<Result>> {
 	return [...waiting]
-		.map(([group, results]) => ({results, lacks: Math.max(0, (lacking.get(group) ?? 0) - results.length), addedAt: results[0]?.addedAt ?? 0}))
-		.toSorted((a, b) => a.lacks - b.lacks || a.addedAt - b.addedAt);
+		.map(([group, results]) => ({results, missing: Math.max(0, (missing.get(group) ?? 0) - results.length), addedAt: results[0]?.addedAt ?? 0}))
+		.toSorted((a, b) => a.missing - b.missing || a.addedAt - b.addedAt);
 }
 
-function compareAges(a: CommitDemand, b: CommitDemand): number {
+function compareByAge(a: CommitDemand, b: CommitDemand): number {
 	return a.addedAt - b.addedAt;
 }
 
-function compareDemands(a: CommitDemand, b: CommitDemand): number {
+function compareByDemand(a: CommitDemand, b: CommitDemand): number {
 	return Number(b.completes > 0) - Number(a.completes > 0)
 		|| a.priority - b.priority
 		|| a.openGroups - b.openGroups
-		|| compareAges(a, b);
+		|| compareByAge(a, b);
 }
--- a/packages/decisions/src/concurrency-limit.ts
+++ b/packages/decisions/src/concurrency-limit.ts
@@ -23,32 +23,32 @@
 const decreaseFactor = 0.9;
 
 /** Decreases that may follow one another, at most one in each of these times the latency floor. */
-const decreaseIntervals = 1;
+const minDecreaseSpacingFloors = 1;
 
 /**
  * Time after which the floor is measured anew, in milliseconds. A floor that only drifts follows the latency that
  * the limit itself makes, and the limit then grows without bound; so it is measured at half the limit, as
  * BBR does for its round trip (Cardwell et al., 2016). At requests of a second this costs 1–2% of capacity.
  */
-const floorTermMs = 30_000;
+const floorValidityMs = 30_000;
 
 /**
  * Latency over the floor up to which the floor is not in doubt, so that it need not be measured. Measured every 30 s
  * regardless, it cost an overloaded pool a quarter of its work for a second, and held up short calls behind long ones.
  */
-const floorDoubt = 1.5;
+const trustedFloorRatio = 1.5;
 
 /** Part of the limit that is used while the floor is measured. */
-const floorProbeUse = 0.5;
+const floorProbeFraction = 0.5;
 
 /**
  * Measurements of which the mean is taken, at the least; a limit's worth if that is more. Judged one by one, calls of
  * 100–300 ms shrank the limit of a healthy endpoint to a third, as the shortest ever seen was the floor.
  */
-const minWindow = 16;
+const minWindowSize = 16;
 
 /** Fraction of the limit that must be in use before it grows; an unused limit proves nothing. */
-const growthUse = 0.8;
+const minGrowthUtilization = 0.8;
 
 /** The limit of one endpoint. */
 export class ConcurrencyLimit {
@@ -57,12 +57,12 @@
 	#limit: number;
 	#floorMs = Number.POSITIVE_INFINITY;
 	#lastDecreaseAt = Number.NEGATIVE_INFINITY;
-	#floorUntil: number | undefined;
+	#floorValidUntil: number | undefined;
 	/** While the floor is measured anew. */
 	#isProbing = false;
 	#windowSum = 0;
 	#windowCount = 0;
-	#windowMostInFlight = 0;
+	#windowMaxInFlight = 0;
 
 	constructor(bounds: LimitBounds) {
 		this.#bounds = bounds;
@@ -71,8 +71,8 @@
 
 	/** Requests, a whole number. */
 	get limit(): number {
-		const used = this.#isProbing ? this.#limit * floorProbeUse : this.#limit;
-		return Math.max(this.#bounds.min, Math.floor(used));
+		const effectiveLimit = this.#isProbing ? this.#limit * floorProbeFraction : this.#limit;
+		return Math.max(this.#bounds.min, Math.floor(effectiveLimit));
 	}
 
 	/** Requests that may be in flight when one of this class starts, as `Headroom` leaves them; always at least one. */
@@ -105,8 +105,8 @@
 
 		this.#windowSum += latencyMs;
 		this.#windowCount += 1;
-		this.#windowMostInFlight = Math.max(this.#windowMostInFlight, inFlight);
-		if (this.#windowCount >= Math.max(minWindow, this.limit)) {
+		this.#windowMaxInFlight = Math.max(this.#windowMaxInFlight, inFlight);
+		if (this.#windowCount >= Math.max(minWindowSize, this.limit)) {
 			this.#closeWindow(now);
 		}
 	}
@@ -120,11 +120,11 @@
 
 	#closeWindow(now: number): void {
 		const meanMs = this.#windowSum / this.#windowCount;
-		const wasUsed = this.#windowMostInFlight >= growthUse * this.limit;
+		const wasUsed = this.#windowMaxInFlight >= minGrowthUtilization * this.limit;
 		this.#windowSum = 0;
 		this.#windowCount = 0;
-		this.#windowMostInFlight = 0;
-		if (this.#followFloor(meanMs, now)) {
+		this.#windowMaxInFlight = 0;
+		if (this.#updateFloor(meanMs, now)) {
 			return;
 		}
 
@@ -136,26 +136,26 @@
 	}
 
 	/** Keeps the floor; true if this window measured it and is to have no other effect. */
-	#followFloor(meanMs: number, now: number): boolean {
+	#updateFloor(meanMs: number, now: number): boolean {
 		if (this.#isProbing) {
 			this.#isProbing = false;
 			this.#floorMs = meanMs;
-			this.#floorUntil = now + floorTermMs;
+			this.#floorValidUntil = now + floorValidityMs;
 			return true;
 		}
 
 		this.#floorMs = Math.min(this.#floorMs, meanMs);
-		if (meanMs <= floorDoubt * this.#floorMs) {
-			this.#floorUntil = now + floorTermMs;
+		if (meanMs <= trustedFloorRatio * this.#floorMs) {
+			this.#floorValidUntil = now + floorValidityMs;
 		}
 
-		this.#floorUntil ??= now + floorTermMs;
-		this.#isProbing = now >= this.#floorUntil;
+		this.#floorValidUntil ??= now + floorValidityMs;
+		this.#isProbing = now >= this.#floorValidUntil;
 		return false;
 	}
 
 	#decrease(now: number): void {
-		if (now - this.#lastDecreaseAt < decreaseIntervals * this.#floorMs) {
+		if (now - this.#lastDecreaseAt < minDecreaseSpacingFloors * this.#floorMs) {
 			return;
 		}
 
--- a/packages/decisions/src/crash-evidence.ts
+++ b/packages/decisions/src/crash-evidence.ts
@@ -14,12 +14,12 @@
 const maxBroken = 64;
 const maxEndpoints = 1000;
 
-type Broken = {fingerprint: string; at: number};
+type BrokenRequest = {fingerprint: string; at: number};
 
 /** Requests that broke at endpoints of late. */
 export class CrashEvidence {
 	/** By endpoint. */
-	readonly #broken = new Map<string, Broken[]>();
+	readonly #broken = new Map<string, BrokenRequest[]>();
 
 	/** Notes that a request broke without an answer, and may have run. */
 	noteBroken(endpoint: string, fingerprint: string, now: number): void {
--- a/packages/decisions/src/demand-history.ts
+++ b/packages/decisions/src/demand-history.ts
@@ -10,11 +10,11 @@
  * Times in which a measurement mostly replaces those before, in milliseconds. Demand is what both say: a burst
  * shows in the fast one only, a demand that has gone in the slow one only.
  */
-const fastMs = 5000;
-const slowMs = 20_000;
+const fastTimeConstantMs = 5000;
+const slowTimeConstantMs = 20_000;
 
 /** The same for what is usual, against which a demand is high or low. */
-const usualMs = 300_000;
+const baselineTimeConstantMs = 300_000;
 
 /** Endpoints over or under the usual before demand counts as high or low, so that noise ends no run of it. */
 const runMargin = 0.5;
@@ -23,13 +23,13 @@
 const maxLastsMs = 300_000;
 
 /** Weight of the newest run in how long they usually last. */
-const runSmoothing = 0.5;
+const runSmoothingWeight = 0.5;
 
 type Trace = {
 	at: number;
 	fast: number;
 	slow: number;
-	usual: number;
+	baseline: number;
 	interactive: number;
 	isHigh: boolean;
 	/** When it became high or low. */
@@ -46,18 +46,18 @@
 		const trace = this.#traces.get(name);
 		if (!trace) {
 			this.#traces.set(name, {
-				at: now, fast: total, slow: total, usual: total, interactive, isHigh: false, since: now, lastsMs: defaultLastsMs,
+				at: now, fast: total, slow: total, baseline: total, interactive, isHigh: false, since: now, lastsMs: defaultLastsMs,
 			});
 			return;
 		}
 
 		const elapsedMs = now - trace.at;
 		trace.at = now;
-		trace.fast = approach(trace.fast, total, elapsedMs / fastMs);
-		trace.slow = approach(trace.slow, total, elapsedMs / slowMs);
-		trace.usual = approach(trace.usual, total, elapsedMs / usualMs);
-		trace.interactive = approach(trace.interactive, interactive, elapsedMs / slowMs);
-		followRun(trace, now);
+		trace.fast = smooth(trace.fast, total, elapsedMs / fastTimeConstantMs);
+		trace.slow = smooth(trace.slow, total, elapsedMs / slowTimeConstantMs);
+		trace.baseline = smooth(trace.baseline, total, elapsedMs / baselineTimeConstantMs);
+		trace.interactive = smooth(trace.interactive, interactive, elapsedMs / slowTimeConstantMs);
+		updateRun(trace, now);
 	}
 
 	/** Demand of each model now. */
@@ -69,15 +69,15 @@
 	}
 }
 
-function approach(from: number, to: number, timeConstants: number): number {
+function smooth(from: number, to: number, timeConstants: number): number {
 	return from + ((1 - Math.exp(-timeConstants)) * (to - from));
 }
 
-function followRun(trace: Trace, now: number): void {
-	const difference = trace.fast - trace.usual;
+function updateRun(trace: Trace, now: number): void {
+	const difference = trace.fast - trace.baseline;
 	const hasTurned = trace.isHigh ? difference < -runMargin : difference > runMargin;
 	if (hasTurned) {
-		trace.lastsMs += runSmoothing * (now - trace.since - trace.lastsMs);
+		trace.lastsMs += runSmoothingWeight * (now - trace.since - trace.lastsMs);
 		trace.isHigh = !trace.isHigh;
 		trace.since = now;
 	}
--- a/packages/decisions/src/direct-choice.ts
+++ b/packages/decisions/src/direct-choice.ts
@@ -29,7 +29,7 @@
 };
 
 /** Part of a request's time that a shared prompt saves, which need not be read again. Prompts are short against texts. */
-const warmAllowance = 0.03;
+const cachedPrefixAllowance = 0.03;
 
 /**
  * Part of a request's time that an open connection saves. It decides between equals: with calls spread over all endpoints by
@@ -41,10 +41,10 @@
  * Part of a request's time by which an endpoint that is this process's own is preferred: more than it takes longer when all its slots are
  * taken, so that others are asked only when it has none, and less than a slow endpoint takes longer.
  */
-const homeAllowance = 0.2;
+const dedicatedAllowance = 0.2;
 
 /** Least factor by which a fast endpoint is preferred; measured paces of healthy endpoints differ by less. */
-const fastestFactor = 0.6;
+const minPaceFactor = 0.6;
 
 /**
  * How much longer a request takes on an endpoint whose slots are all taken, as a part of its time on an idle one. An engine that
@@ -55,21 +55,21 @@
 /** By how much endpoints are preferred. */
 export type ChoiceWeights = {
 	/** Least factor by which a fast endpoint is preferred. */
-	fastest: number;
+	minPaceFactor: number;
 	/** Part of a request's time by which an endpoint that is this process's own is preferred. */
-	home: number;
+	dedicatedAllowance: number;
 };
 
-const usualWeights: ChoiceWeights = {fastest: fastestFactor, home: homeAllowance};
+const defaultWeights: ChoiceWeights = {minPaceFactor, dedicatedAllowance};
 
 /** Least factor where lasting speeds are known, which may differ by any factor. */
-const plannedFastest = 0.1;
+const plannedMinPaceFactor = 0.1;
 
 /** Preference of an own endpoint over a faster one by texts that are done in time at any. */
-const shortHomeAllowance = 0.6;
+const shortGenerationDedicatedAllowance = 0.6;
 
 /** Part of the time in which a text should be whole; one that takes longer at a usual endpoint may decide when its step is whole. */
-const decidingPart = 0.5;
+const decidingFraction = 0.5;
 
 /**
  * How a text weighs endpoints: one that may decide when its step is whole goes to the fastest, also to one that others fill; a short one stays at
@@ -78,20 +78,20 @@
  * @param units - events that it is expected to need
  * @param dueInMs - time until it should be whole, in milliseconds; undefined if nobody told
  */
-export function findTextWeights(units: number, dueInMs: number | undefined, typicalPaceMs: number | undefined): ChoiceWeights {
-	const isDeciding = dueInMs === undefined || typicalPaceMs === undefined || units * typicalPaceMs > decidingPart * dueInMs;
-	return {fastest: plannedFastest, home: isDeciding ? homeAllowance : shortHomeAllowance};
+export function findGenerationWeights(units: number, dueInMs: number | undefined, medianPaceMs: number | undefined): ChoiceWeights {
+	const isDeciding = dueInMs === undefined || medianPaceMs === undefined || units * medianPaceMs > decidingFraction * dueInMs;
+	return {minPaceFactor: plannedMinPaceFactor, dedicatedAllowance: isDeciding ? dedicatedAllowance : shortGenerationDedicatedAllowance};
 }
 
 /** Expected time until a new attempt is done there, in typical requests; the least is the best. */
-export function weighCandidate(candidate: DirectCandidate, typicalPaceMs: number | undefined, weights = usualWeights): number {
-	const {slots, open, others, paceMs, moment = 1, isWarm, isHome, isConnected} = candidate;
-	const occupied = (open + others) / Math.max(1, slots);
-	const factor = paceMs === undefined || !typicalPaceMs ? moment : Math.max(weights.fastest, paceMs / typicalPaceMs);
+export function estimateCost(candidate: DirectCandidate, medianPaceMs: number | undefined, weights = defaultWeights): number {
+	const {slots, open, others: openElsewhere, paceMs, moment: transientFactor = 1, isWarm: hasCachedPrefix, isHome: isDedicated, isConnected} = candidate;
+	const occupied = (open + openElsewhere) / Math.max(1, slots);
+	const factor = paceMs === undefined || !medianPaceMs ? transientFactor : Math.max(weights.minPaceFactor, paceMs / medianPaceMs);
 	const crowding = crowdingFactor * Math.min(1, occupied);
 	// What is beyond the slots waits for as long as a request takes.
 	const waiting = Math.max(0, occupied - 1);
-	const saved = (isWarm ? warmAllowance : 0) + (isHome ? weights.home : 0) + (isConnected ? connectedAllowance : 0);
+	const saved = (hasCachedPrefix ? cachedPrefixAllowance : 0) + (isDedicated ? weights.dedicatedAllowance : 0) + (isConnected ? connectedAllowance : 0);
 	return (1 + crowding + waiting) * factor * (1 - saved);
 }
 
@@ -99,13 +99,13 @@
  * Pace over the typical one from which runs leave an endpoint in their middle: more than endpoints of one service differ by
  * when sound (some are a third slower), less than the factor of three or more of a faulty one.
  */
-const leaveFactor = 1.8;
+const moveFactor = 1.8;
 
 /**
  * The same for a run that is long already. Lengths are heavy-tailed, so that it will mostly go on for as long again, and the
  * longest texts decide when a step is whole.
  */
-const longLeaveFactor = 1.2;
+const longRunMoveFactor = 1.2;
 
 /** Events of a run from which it counts as long, and between two moves of one; the mean of all is about as many. */
 export const longRunEvents = 30;
@@ -120,14 +120,14 @@
  */
 export function listBetter(current: DirectCandidate, others: readonly DirectCandidate[], isLong: boolean): DirectCandidate[] {
 	const {paceMs: currentMs} = current;
-	const factor = isLong ? longLeaveFactor : leaveFactor;
+	const factor = isLong ? longRunMoveFactor : moveFactor;
 	return currentMs === undefined
 		? []
 		: others.filter(({open, others: elsewhere, slots, paceMs}) => open + elsewhere < slots && paceMs !== undefined && paceMs * factor < currentMs);
 }
 
 /** Middle of the measured paces; undefined if there are none. */
-export function findTypicalPace(candidates: readonly DirectCandidate[]): number | undefined {
+export function findMedianPaceMs(candidates: readonly DirectCandidate[]): number | undefined {
 	return findMiddle(candidates.flatMap(({paceMs}) => paceMs === undefined ? [] : [paceMs]));
 }
 
@@ -135,20 +135,20 @@
  * Chooses an endpoint.
  *
  * @param chance - a number in [0, 1) that decides between equals, so that processes don't all choose the same one
- * @param text - what is expected of a text; undefined for other work
+ * @param generation - what is expected of a text; undefined for other work
  * @returns undefined if there are no candidates
  */
-export function chooseDirect(candidates: readonly DirectCandidate[], chance: number, text?: {units: number; dueInMs: number | undefined}): DirectCandidate | undefined {
-	const typical = findTypicalPace(candidates);
-	const weights = text ? findTextWeights(text.units, text.dueInMs, typical) : usualWeights;
+export function chooseDirect(candidates: readonly DirectCandidate[], chance: number, generation?: {units: number; dueInMs: number | undefined}): DirectCandidate | undefined {
+	const medianPaceMs = findMedianPaceMs(candidates);
+	const weights = generation ? findGenerationWeights(generation.units, generation.dueInMs, medianPaceMs) : defaultWeights;
 	let best: DirectCandidate[] = [];
-	let bestWeight = Number.POSITIVE_INFINITY;
+	let minCost = Number.POSITIVE_INFINITY;
 	for (const candidate of candidates) {
-		const weight = weighCandidate(candidate, typical, weights);
-		if (weight < bestWeight - 1e-9) {
+		const cost = estimateCost(candidate, medianPaceMs, weights);
+		if (cost < minCost - 1e-9) {
 			best = [candidate];
-			bestWeight = weight;
-		} else if (weight < bestWeight + 1e-9) {
+			minCost = cost;
+		} else if (cost < minCost + 1e-9) {
 			best.push(candidate);
 		}
 	}
--- a/packages/decisions/src/drain-rate.ts
+++ b/packages/decisions/src/drain-rate.ts
@@ -6,7 +6,7 @@
  */
 
 /** Weight of the newest window in the measured rate; five windows forget 97% of what was before. */
-const rateSmoothing = 0.5;
+const rateSmoothingWeight = 0.5;
 
 /** Length of a window in milliseconds: long enough for some finished requests, short enough to follow a lost endpoint. */
 const rateWindowMs = 500;
@@ -37,14 +37,14 @@
 		this.#windowStart ??= now;
 		this.#windowWork += work;
 		this.#wasBusy &&= isBusy;
-		const elapsed = now - this.#windowStart;
-		if (elapsed < rateWindowMs) {
+		const elapsedMs = now - this.#windowStart;
+		if (elapsedMs < rateWindowMs) {
 			return;
 		}
 
-		const measured = this.#windowWork / elapsed;
+		const measured = this.#windowWork / elapsedMs;
 		if (this.#wasBusy || measured > this.#rate) {
-			this.#rate += rateSmoothing * (measured - this.#rate);
+			this.#rate += rateSmoothingWeight * (measured - this.#rate);
 		}
 
 		this.#windowStart = now;
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -8,17 +8,17 @@
  */
 
 /** What one request showed of its endpoint. */
-export type Evidence = {
+export type RequestObservation = {
 	hasFailed: boolean;
 	/** Time taken, or taken so far, over the time expected for its work. */
 	slowness: number;
 };
 
 /** Weight of a new request in the averages: ten requests are three quarters of it. */
-const smoothing = 0.13;
+const smoothingWeight = 0.13;
 
 /** Requests before the averages count. */
-const minEvidence = 5;
+const minObservations = 5;
 
 /** Bad requests in a row that eject; by chance, where one in ten is bad, it happens once in 100,000 requests. */
 const maxConsecutiveBad = 5;
@@ -33,20 +33,20 @@
 const maxRelativeSlowness = 3;
 
 /** Most of a pool that may be out at once; the rest must carry the load. One may be out in a pool of two or more. */
-const maxEjectedPart = 0.34;
+const maxEjectedFraction = 0.34;
 
 /** Time until the first probe and between good ones, in milliseconds. */
-const probeMs = 500;
+const probeIntervalMs = 500;
 
 /** Factor by which each failed probe puts off the next, and the most that it may be put off, in milliseconds. */
-const probeBackoff = 1.5;
-const maxProbeMs = 2000;
+const probeBackoffFactor = 1.5;
+const maxProbeIntervalMs = 2000;
 
 /**
  * Good probes in a row that bring it back. An endpoint that fails half of its calls passes five by chance once in 32 tries.
  * Healed, it is back after at most 2 s and five probes half a second apart: 4.5 s and the time of the probes.
  */
-const probesNeeded = 5;
+const requiredProbes = 5;
 
 /** Time after which a probe that has not ended counts as failed, in milliseconds. */
 const probeTimeoutMs = 3000;
@@ -84,7 +84,7 @@
 
 	/** Endpoints out of use. */
 	get ejectedCount(): number {
-		return this.#list().filter(({isEjected}) => isEjected).length;
+		return this.#listHealth().filter(({isEjected}) => isEjected).length;
 	}
 
 	/** Whether a request that still runs has taken so long that `record` should be told now rather than at its end. */
@@ -98,14 +98,14 @@
 	 *
 	 * @returns whether this ejected the endpoint; what runs there may then be tried elsewhere
 	 */
-	record(endpoint: string, {hasFailed, slowness}: Evidence, now: number): boolean {
+	record(endpoint: string, {hasFailed, slowness}: RequestObservation, now: number): boolean {
 		const health = this.#endpoints.get(endpoint);
 		if (!health || health.isEjected) {
 			return false;
 		}
 
 		const isBad = hasFailed || this.#isSlow(health, slowness);
-		const weight = Math.max(smoothing, 1 / (health.count + 1));
+		const weight = Math.max(smoothingWeight, 1 / (health.count + 1));
 		health.count += 1;
 		health.consecutiveBad = isBad ? health.consecutiveBad + 1 : 0;
 		health.badRate += weight * (Number(isBad) - health.badRate);
@@ -113,12 +113,12 @@
 			health.slowness += weight * (slowness - health.slowness);
 		}
 
-		const hasEvidence = health.consecutiveBad >= maxConsecutiveBad || (health.count >= minEvidence && health.badRate > maxBadRate);
-		if (!hasEvidence || !this.#mayEject()) {
+		const hasEvidence = health.consecutiveBad >= maxConsecutiveBad || (health.count >= minObservations && health.badRate > maxBadRate);
+		if (!hasEvidence || !this.#canEject()) {
 			return false;
 		}
 
-		Object.assign(health, createHealth(), {isEjected: true, nextProbeAt: now + probeMs});
+		Object.assign(health, createHealth(), {isEjected: true, nextProbeAt: now + probeIntervalMs});
 		return true;
 	}
 
@@ -138,7 +138,7 @@
 	}
 
 	/** Learns from a probe; enough good ones bring the endpoint back. */
-	recordProbe(endpoint: string, {hasFailed, slowness}: Evidence, now: number): void {
+	recordProbe(endpoint: string, {hasFailed, slowness}: RequestObservation, now: number): void {
 		const health = this.#endpoints.get(endpoint);
 		if (!health?.isEjected) {
 			return;
@@ -146,38 +146,38 @@
 
 		if (hasFailed || this.#isSlow(health, slowness)) {
 			health.probesPassed = 0;
-			health.probeIntervalMs = Math.min(maxProbeMs, health.probeIntervalMs * probeBackoff);
+			health.probeIntervalMs = Math.min(maxProbeIntervalMs, health.probeIntervalMs * probeBackoffFactor);
 			health.nextProbeAt = now + health.probeIntervalMs;
 			return;
 		}
 
 		health.probesPassed += 1;
-		health.probeIntervalMs = probeMs;
-		health.nextProbeAt = now + probeMs;
-		if (health.probesPassed >= probesNeeded) {
+		health.probeIntervalMs = probeIntervalMs;
+		health.nextProbeAt = now + probeIntervalMs;
+		if (health.probesPassed >= requiredProbes) {
 			Object.assign(health, createHealth());
 		}
 	}
 
-	#list(): Health[] {
+	#listHealth(): Health[] {
 		return [...this.#endpoints.values()];
 	}
 
 	#isSlow(health: Health, slowness: number): boolean {
 		// The typical is 1 at the least, so most requests are judged without it.
-		return slowness > maxRelativeSlowness && slowness > maxRelativeSlowness * this.#findTypicalSlowness(health);
+		return slowness > maxRelativeSlowness && slowness > maxRelativeSlowness * this.#findMedianSlowness(health);
 	}
 
-	#mayEject(): boolean {
+	#canEject(): boolean {
 		const total = this.#endpoints.size;
-		const allowed = total < 2 ? 0 : Math.max(1, Math.floor(maxEjectedPart * total));
+		const allowed = total < 2 ? 0 : Math.max(1, Math.floor(maxEjectedFraction * total));
 		return this.ejectedCount < allowed;
 	}
 
 	/** Median of the others in use; 1, as expected, while there is nothing to compare with. */
-	#findTypicalSlowness(health: Health): number {
-		const others = this.#list()
-			.filter(other => other !== health && !other.isEjected && other.count >= minEvidence)
+	#findMedianSlowness(health: Health): number {
+		const others = this.#listHealth()
+			.filter(other => other !== health && !other.isEjected && other.count >= minObservations)
 			.map(({slowness}) => slowness)
 			.toSorted((a, b) => a - b);
 		return Math.max(1, others[Math.floor(others.length / 2)] ?? 1);
@@ -186,6 +186,6 @@
 
 function createHealth(): Health {
 	return {
-		isEjected: false, count: 0, consecutiveBad: 0, badRate: 0, slowness: 1, probesPassed: 0, probeIntervalMs: probeMs, nextProbeAt: 0,
+		isEjected: false, count: 0, consecutiveBad: 0, badRate: 0, slowness: 1, probesPassed: 0, probeIntervalMs, nextProbeAt: 0,
 	};
 }
--- a/packages/decisions/src/endpoint-speed.ts
+++ b/packages/decisions/src/endpoint-speed.ts
@@ -9,5 +9,5 @@
 	/** Factor by which it is slower over some seconds; 1 as usual. */
 	spell: number;
 	/** Factor by which it is slower at this moment; 1 as usual, also once what it told is too old. */
-	moment: number;
+	transientFactor: number;
 };
--- a/packages/decisions/src/lateness.ts
+++ b/packages/decisions/src/event-loop-lag.ts
@@ -7,37 +7,37 @@
  */
 
 /** Ticks that are remembered; with one each 50 ms they reach back over three seconds. */
-const window = 60;
+const windowTicks = 60;
 
 /** Ticks that tell of the present: 0.3 s, some events of a text. */
 const recentTicks = 6;
 
 /** Part of the ticks that are no later than what is told to others: a single pause of the collector says nothing of the load. */
-const toldQuantile = 0.9;
+const reportedQuantile = 0.9;
 
 /** Lateness from which the times between events say more of this process than of an endpoint, in milliseconds: a quarter of the usual time between two. */
-const lateMs = 10;
+const highLagMs = 10;
 
 /** Lateness of one process, from a timer that is due at regular times. */
 export class Lateness {
 	readonly #ticks: number[] = [];
 
 	/** Takes in how late a tick was, in milliseconds. */
-	record(tickLateMs: number): void {
-		this.#ticks.push(Math.max(0, tickLateMs));
-		if (this.#ticks.length > window) {
+	record(tickLagMs: number): void {
+		this.#ticks.push(Math.max(0, tickLagMs));
+		if (this.#ticks.length > windowTicks) {
 			this.#ticks.shift();
 		}
 	}
 
 	/** Whether this process is too late at present to judge others by when something of theirs was read. */
 	get isLate(): boolean {
-		return this.#ticks.slice(-recentTicks).some(tick => tick >= lateMs);
+		return this.#ticks.slice(-recentTicks).some(tick => tick >= highLagMs);
 	}
 
 	/** How late nine of ten ticks of the last three seconds were at most, in milliseconds; 0 before the first. */
 	get usualMs(): number {
 		const sorted = this.#ticks.toSorted((a, b) => a - b);
-		return sorted[Math.ceil(sorted.length * toldQuantile) - 1] ?? 0;
+		return sorted[Math.ceil(sorted.length * reportedQuantile) - 1] ?? 0;
 	}
 }
--- a/packages/decisions/src/expected-room.ts
+++ b/packages/decisions/src/expected-headroom.ts
@@ -6,10 +6,10 @@
  * it sends a burst to endpoints that are full.
  */
 import {findMiddle} from '@wasabiusher/shared';
-import {usualWorkMs} from './return-plan.js';
+import {defaultWorkMs} from './retry-after-plan.js';
 
 /** What is known of an endpoint's room. */
-export type KnownRoom = {
+export type EndpointOccupancy = {
 	slots: number;
 	/** Requests of this process that are open there. */
 	open: number;
@@ -21,21 +21,21 @@
 };
 
 /** Requests that wait at the endpoint itself, so that a slot is not idle while the answer and the next request are on their way. */
-const ahead = 1;
+const queuedAhead = 1;
 
 /** Pace over the typical one from which an endpoint is slow: more than sound endpoints of one service differ by. */
-const slowFactor = 1.8;
+const slowPaceFactor = 1.8;
 
 /** Pace above which an endpoint of a service is slow, in milliseconds; undefined until some were measured. */
 export function findSlowPace(pacesMs: ReadonlyArray<number | undefined>): number | undefined {
-	const typical = findMiddle(pacesMs.filter(paceMs => paceMs !== undefined));
-	return typical === undefined ? undefined : slowFactor * typical;
+	const medianMs = findMiddle(pacesMs.filter(paceMs => paceMs !== undefined));
+	return medianMs === undefined ? undefined : slowPaceFactor * medianMs;
 }
 
 /** Whether it has probably room now: by what was told, less what has ended since then at its pace. */
 export function isRoomExpected({
-	slots, open, others, ageMs, workMs = usualWorkMs,
-}: KnownRoom): boolean {
-	const excess = open + others + 1 - slots - ahead;
-	return excess <= 0 || (open < slots + ahead && ageMs >= excess * workMs / Math.max(1, slots));
+	slots, open, others: openElsewhere, ageMs, workMs = defaultWorkMs,
+}: EndpointOccupancy): boolean {
+	const excess = open + openElsewhere + 1 - slots - queuedAhead;
+	return excess <= 0 || (open < slots + queuedAhead && ageMs >= excess * workMs / Math.max(1, slots));
 }
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -10,9 +10,9 @@
  * it returns: within the time until the next slot is free, as running work is not stopped.
  */
 import {priorityClasses, type PriorityClass} from '@wasabiusher/shared';
-import {CallerLine, type Entry, type Ticket} from './caller-line.js';
+import {CallerQueue, type QueuedJob, type Ticket} from './caller-queue.js';
 
-export type {Ticket} from './caller-line.js';
+export type {Ticket} from './caller-queue.js';
 
 /** Bounds of what one caller may have waiting. */
 export type CallerBounds = {
@@ -34,9 +34,9 @@
 
 const unbounded: CallerBounds = {count: Number.POSITIVE_INFINITY, work: Number.POSITIVE_INFINITY};
 
-type Class<Job> = {
+type ClassQueue<Job> = {
 	floor: number;
-	line: CallerLine<Job>;
+	queue: CallerQueue<Job>;
 	/** Work owed to it. */
 	credit: number;
 };
@@ -46,15 +46,15 @@
 /** Jobs in fair order; each operation takes O(log callers). */
 export class FairQueue<Job> {
 	readonly #bounds: CallerBounds;
-	readonly #classes: ReadonlyArray<Class<Job>>;
-	readonly #entries = new Map<string, Entry<Job>>();
+	readonly #classes: ReadonlyArray<ClassQueue<Job>>;
+	readonly #entries = new Map<string, QueuedJob<Job>>();
 	readonly #backlogs = new Map<string, Backlog>();
 	#work = 0;
 
 	/** @param bounds - of what one caller may have waiting; none by default */
 	constructor(bounds: CallerBounds = unbounded) {
 		this.#bounds = bounds;
-		this.#classes = priorityClasses.map(name => ({floor: classFloors[name], line: new CallerLine<Job>(), credit: 0}));
+		this.#classes = priorityClasses.map(name => ({floor: classFloors[name], queue: new CallerQueue<Job>(), credit: 0}));
 	}
 
 	get size(): number {
@@ -74,34 +74,34 @@
 	/** Adds a job; false if its caller's bound is met or its id is already there. */
 	push(ticket: Ticket, job: Job): boolean {
 		const backlog = this.backlogOf(ticket.caller);
-		const isOver = backlog.count + 1 > this.#bounds.count || backlog.work + ticket.cost > this.#bounds.work;
+		const exceedsBound = backlog.count + 1 > this.#bounds.count || backlog.work + ticket.cost > this.#bounds.work;
 		// One job may exceed the bound in work by itself, or it could never run.
-		if (this.#entries.has(ticket.id) || (isOver && backlog.count > 0)) {
+		if (this.#entries.has(ticket.id) || (exceedsBound && backlog.count > 0)) {
 			return false;
 		}
 
-		const entry: Entry<Job> = {ticket, job};
+		const entry: QueuedJob<Job> = {ticket, job};
 		this.#entries.set(ticket.id, entry);
-		this.#findClass(ticket).line.push(entry);
-		this.#count(ticket, 1);
+		this.#findClassQueue(ticket).queue.push(entry);
+		this.#addToBacklog(ticket, 1);
 		return true;
 	}
 
 	/** Class of the job whose turn it is; a less urgent one may have to leave slots free. */
 	get nextClass(): PriorityClass | undefined {
-		return this.#chooseClass()?.line.first?.ticket.class;
+		return this.#chooseNextQueue()?.queue.first?.ticket.class;
 	}
 
 	/** Takes the job whose turn it is. */
 	pop(): Job | undefined {
-		const next = this.#chooseClass();
+		const next = this.#chooseNextQueue();
 		if (!next) {
 			return undefined;
 		}
 
-		const {ticket, job} = next.line.pop()!;
+		const {ticket, job} = next.queue.pop()!;
 		this.#settleCredits(next, ticket.cost);
-		this.#forget(ticket);
+		this.#discard(ticket);
 		return job;
 	}
 
@@ -112,26 +112,26 @@
 			return undefined;
 		}
 
-		const {line} = this.#findClass(entry.ticket);
-		line.remove(entry);
-		this.#forget(entry.ticket);
+		const {queue} = this.#findClassQueue(entry.ticket);
+		queue.remove(entry);
+		this.#discard(entry.ticket);
 		return entry.job;
 	}
 
-	#findClass({class: name}: Ticket): Class<Job> {
+	#findClassQueue({class: name}: Ticket): ClassQueue<Job> {
 		return this.#classes[priorityClasses.indexOf(name)]!;
 	}
 
 	/** A class that is owed its next job goes first, else the most urgent. */
-	#chooseClass(): Class<Job> | undefined {
-		const owed = this.#classes.find(({line, credit}) => line.first && credit >= line.first.ticket.cost && credit > 0);
-		return owed ?? this.#classes.find(({line}) => !line.isEmpty);
+	#chooseNextQueue(): ClassQueue<Job> | undefined {
+		const owed = this.#classes.find(({queue, credit}) => queue.first && credit >= queue.first.ticket.cost && credit > 0);
+		return owed ?? this.#classes.find(({queue}) => !queue.isEmpty);
 	}
 
-	#settleCredits(served: Class<Job>, cost: number): void {
+	#settleCredits(served: ClassQueue<Job>, cost: number): void {
 		const servedIndex = this.#classes.indexOf(served);
 		for (const [index, other] of this.#classes.entries()) {
-			if (other.line.isEmpty) {
+			if (other.queue.isEmpty) {
 				// Nothing is owed to a class that doesn't wait, so none can be saved up.
 				other.credit = 0;
 			} else if (index > servedIndex) {
@@ -142,12 +142,12 @@
 		served.credit = Math.max(0, served.credit - cost);
 	}
 
-	#forget(ticket: Ticket): void {
+	#discard(ticket: Ticket): void {
 		this.#entries.delete(ticket.id);
-		this.#count(ticket, -1);
+		this.#addToBacklog(ticket, -1);
 	}
 
-	#count({caller, cost}: Ticket, sign: 1 | -1): void {
+	#addToBacklog({caller, cost}: Ticket, sign: 1 | -1): void {
 		const {count, work} = this.backlogOf(caller);
 		this.#work = this.#entries.size === 0 ? 0 : this.#work + (sign * cost);
 		if (count + sign === 0) {
--- a/packages/decisions/src/turn-clock.ts
+++ b/packages/decisions/src/flow-clock.ts
@@ -9,17 +9,17 @@
  * Idle turns that are remembered. Beyond it all are forgotten, which gives
  * each at most one job too early; 10,000 turns take about 1 MB.
  */
-const maxIdleTurns = 10_000;
+const maxIdleFlows = 10_000;
 
 /** The virtual time, and where each idle turn stands. */
 export class TurnClock {
-	readonly #idle = new Map<string, number>();
+	readonly #idleFlows = new Map<string, number>();
 	#now = 0;
 
 	/** Where a turn starts that begins to wait. */
 	enter(key: string): number {
-		const start = Math.max(this.#now, this.#idle.get(key) ?? 0);
-		this.#idle.delete(key);
+		const start = Math.max(this.#now, this.#idleFlows.get(key) ?? 0);
+		this.#idleFlows.delete(key);
 		return start;
 	}
 
@@ -30,12 +30,12 @@
 
 	/** Remembers a turn that no longer waits. */
 	leave(key: string, start: number): void {
-		if (this.#idle.size >= maxIdleTurns) {
-			this.#idle.clear();
+		if (this.#idleFlows.size >= maxIdleFlows) {
+			this.#idleFlows.clear();
 		}
 
 		if (start > this.#now) {
-			this.#idle.set(key, start);
+			this.#idleFlows.set(key, start);
 		}
 	}
 }
--- a/packages/decisions/src/text-moves.ts
+++ b/packages/decisions/src/generation-moves.ts
@@ -18,42 +18,42 @@
 };
 
 /** Events at an endpoint before a text leaves it, unless the endpoint has turned slow. */
-const settledEvents = 5;
+const minEventsBeforeMove = 5;
 
 /** Factor of a spell from which an endpoint has turned slow; fast ones take up to twice as long when all of their slots are taken. */
-const slowSpell = 2.4;
+const slowEpisodicFactor = 2.4;
 
 /** Time that a move takes, in milliseconds: the prompt and what was made are read again. */
 const moveMs = 50;
 
 /** Least time that a move must save, in milliseconds: less is within what lengths are off by. */
-const leastGainMs = 500;
+const minGainMs = 500;
 
 /** How much faster the other endpoint must be, as a factor. */
-const leastFactor = 1.3;
+const minSpeedup = 1.3;
 
 /**
  * Expected time for a unit over the next seconds, in milliseconds. A moment is over before a text is; and an endpoint that is merely full becomes
  * faster as other texts end, so that a text that left it for an idle one of the same class would have gained nothing.
  */
-function expectUnitMs({classMs, spell}: EndpointSpeed): number | undefined {
-	return classMs === undefined ? undefined : classMs * (spell < slowSpell ? 1 : spell);
+function estimateUnitMs({classMs: persistentMs, spell: episodicFactor}: EndpointSpeed): number | undefined {
+	return persistentMs === undefined ? undefined : persistentMs * (episodicFactor < slowEpisodicFactor ? 1 : episodicFactor);
 }
 
 /** Whether a text may be saved by another endpoint; nothing needs to be known of others for that. */
 export function isAtRisk({madeHere, unitsLeft, dueInMs}: MovableText, here: EndpointSpeed): boolean {
-	const unitMs = expectUnitMs(here);
-	if (unitMs === undefined || (madeHere < settledEvents && here.spell < slowSpell)) {
+	const unitMs = estimateUnitMs(here);
+	if (unitMs === undefined || (madeHere < minEventsBeforeMove && here.spell < slowEpisodicFactor)) {
 		return false;
 	}
 
 	const finishMs = unitsLeft * unitMs;
-	return finishMs >= leastGainMs && finishMs > (dueInMs ?? 0);
+	return finishMs >= minGainMs && finishMs > (dueInMs ?? 0);
 }
 
 /** Whether a text at risk gains enough by going on elsewhere. */
 export function gainsBy({unitsLeft}: MovableText, here: EndpointSpeed, there: EndpointSpeed): boolean {
-	const hereMs = expectUnitMs(here);
-	const thereMs = expectUnitMs(there);
-	return hereMs !== undefined && thereMs !== undefined && thereMs * leastFactor < hereMs && (unitsLeft * (hereMs - thereMs)) - moveMs >= leastGainMs;
+	const hereMs = estimateUnitMs(here);
+	const thereMs = estimateUnitMs(there);
+	return hereMs !== undefined && thereMs !== undefined && thereMs * minSpeedup < hereMs && (unitsLeft * (hereMs - thereMs)) - moveMs >= minGainMs;
 }
--- a/packages/decisions/src/hedging.ts
+++ b/packages/decisions/src/hedging.ts
@@ -11,7 +11,7 @@
 const hedgeRatio = 0.05;
 
 /** Hedges that may be saved up. */
-const maxSaved = 10;
+const maxSavedHedges = 10;
 
 /** Used part of the capacity above which none is made: the work of a hedge would delay someone's first try. */
 const maxLoad = 0.7;
@@ -26,7 +26,7 @@
 const slowFraction = 0.95;
 
 /** What is known of a request that still runs. */
-export type Running = {
+export type RunningRequest = {
 	/** Its profile allows it: idempotent, and hedging switched on. */
 	isAllowed: boolean;
 	startedAt: number;
@@ -39,12 +39,12 @@
 export class Hedging {
 	readonly #times: number[] = [];
 	#next = 0;
-	#tokens = maxSaved;
+	#tokens = maxSavedHedges;
 	#delayMs: number | undefined;
 
 	/** A request was sent for the first time. */
 	recordFirstTry(): void {
-		this.#tokens = Math.min(maxSaved, this.#tokens + hedgeRatio);
+		this.#tokens = Math.min(maxSavedHedges, this.#tokens + hedgeRatio);
 	}
 
 	/** A request that was not hedged took so long, in milliseconds. */
@@ -67,7 +67,7 @@
 	 *
 	 * @param load - used part of the pool's capacity, from 0
 	 */
-	tryTake({isAllowed, startedAt, deadlineAt, isHedged}: Running, load: number, now: number): boolean {
+	tryTake({isAllowed, startedAt, deadlineAt, isHedged}: RunningRequest, load: number, now: number): boolean {
 		const isSlow = this.#delayMs !== undefined && now - startedAt >= this.#delayMs;
 		if (!isAllowed || isHedged || !isSlow || load > maxLoad || now >= deadlineAt || this.#tokens < 1) {
 			return false;
--- a/packages/decisions/src/length-prediction.ts
+++ b/packages/decisions/src/length-prediction.ts
@@ -17,7 +17,7 @@
 const priorWeight = 1;
 
 /** Weight of the newest sample of a prompt at the least, as the policy moves. */
-const minWeight = 0.1;
+const minNewestWeight = 0.1;
 
 /** What remains of a sample that is longer than all known, over its length so far; a Pareto tail of exponent 3 gives a half. */
 const tailFactor = 0.5;
@@ -41,7 +41,7 @@
 		this.#recordKind(kindName, tokens);
 		const key = `${kindName}/${prompt}`;
 		const {mean, count} = this.#prompts.get(key) ?? {mean: 0, count: 0};
-		const weight = Math.max(minWeight, 1 / (count + 1));
+		const weight = Math.max(minNewestWeight, 1 / (count + 1));
 		// Those that still run tell their progress again.
 		this.#setPrompt(key, {mean: mean + (weight * (tokens - mean)), count: count + 1, soFar: 0});
 	}
--- a/packages/decisions/src/lagging-load.ts
+++ b/packages/decisions/src/load-estimator.ts
@@ -22,16 +22,16 @@
 const maxChanges = 256;
 
 /** Weight of a report in what others usually have there; reports come several times a second or each second. */
-const usualSmoothing = 0.05;
+const otherLoadSmoothingWeight = 0.05;
 
 /** What an endpoint holds now, from a report that lags. */
 export class LaggingLoad {
 	#report: LoadReport = {load: 0, measuredAt: Number.NEGATIVE_INFINITY};
 	#changes: Array<{at: number; by: 1 | -1}> = [];
-	#since = 0;
+	#changeSinceReport = 0;
 	/** Requests of others there in the mean. */
-	#usualOthers = 0;
-	#own = 0;
+	#meanOthers = 0;
+	#ownOpen = 0;
 
 	/** A request was sent there. */
 	recordSent(now: number): void {
@@ -47,8 +47,8 @@
 	receive(report: LoadReport): void {
 		if (report.measuredAt >= this.#report.measuredAt) {
 			this.#report = report;
-			this.#keep(this.#changes.filter(({at}) => at > report.measuredAt));
-			this.#usualOthers += usualSmoothing * (this.#findOthers() - this.#usualOthers);
+			this.#setChanges(this.#changes.filter(({at}) => at > report.measuredAt));
+			this.#meanOthers += otherLoadSmoothingWeight * (this.#findOthers() - this.#meanOthers);
 		}
 	}
 
@@ -60,31 +60,31 @@
 	 */
 	estimate(now: number, serviceMs: number): number {
 		const ageMs = Math.max(0, now - this.#report.measuredAt);
-		const known = Math.exp(-ageMs / Math.max(1, serviceMs));
-		return this.#own + this.#usualOthers + (known * (this.#findOthers() - this.#usualOthers));
+		const reportWeight = Math.exp(-ageMs / Math.max(1, serviceMs));
+		return this.#ownOpen + this.#meanOthers + (reportWeight * (this.#findOthers() - this.#meanOthers));
 	}
 
 	/** Requests there now: the report, corrected by what was sent and has ended since; never less than this entry's own. */
 	get load(): number {
-		return Math.max(this.#own, this.#report.load + this.#since);
+		return Math.max(this.#ownOpen, this.#report.load + this.#changeSinceReport);
 	}
 
 	/** Requests of others by the report: all that it shows but this entry's at that time. */
 	#findOthers(): number {
-		return Math.max(0, this.#report.load - (this.#own - this.#since));
+		return Math.max(0, this.#report.load - (this.#ownOpen - this.#changeSinceReport));
 	}
 
 	#change(by: 1 | -1, now: number): void {
-		this.#own += by;
-		this.#since += by;
+		this.#ownOpen += by;
+		this.#changeSinceReport += by;
 		this.#changes.push({at: now, by});
 		if (this.#changes.length > maxChanges) {
-			this.#keep(this.#changes.slice(maxChanges / 2));
+			this.#setChanges(this.#changes.slice(maxChanges / 2));
 		}
 	}
 
-	#keep(changes: Array<{at: number; by: 1 | -1}>): void {
+	#setChanges(changes: Array<{at: number; by: 1 | -1}>): void {
 		this.#changes = changes;
-		this.#since = changes.reduce((sum, {by}) => sum + by, 0);
+		this.#changeSinceReport = changes.reduce((sum, {by}) => sum + by, 0);
 	}
 }
--- a/packages/decisions/src/load-timing.ts
+++ b/packages/decisions/src/load-timing.ts
@@ -9,7 +9,7 @@
  */
 
 /** What is known once a version has been published. */
-export type LoadOccasion = {
+export type PublishedVersion = {
 	/** Time since the publication, in milliseconds. */
 	sinceMs: number;
 	/** Texts of the model that have not begun, at all hosts; undefined if nobody tells. */
@@ -30,15 +30,15 @@
 /**
  * Whether endpoints should load now.
  *
- * @param leastMs - time that the step needs to come and fill the slots
+ * @param minDelayMs - time that the step needs to come and fill the slots
  */
-export function shouldLoad(occasion: LoadOccasion, leastMs: number): boolean {
-	const {sinceMs, waiting} = occasion;
-	return sinceMs >= leastMs && (waiting === undefined || waiting <= 0 || sinceMs >= Math.min(leastMs + occasion.loadMs, findLatestMs(occasion)));
+export function shouldLoad(version: PublishedVersion, minDelayMs: number): boolean {
+	const {sinceMs, waiting} = version;
+	return sinceMs >= minDelayMs && (waiting === undefined || waiting <= 0 || sinceMs >= Math.min(minDelayMs + version.loadMs, findLatestMs(version)));
 }
 
 /** Time from the publication after which loads would not be over before the next one, in milliseconds. */
-function findLatestMs({endpoints, width, loadMs, intervalMs}: LoadOccasion): number {
+function findLatestMs({endpoints, width, loadMs, intervalMs}: PublishedVersion): number {
 	const waves = Math.ceil(endpoints / Math.max(1, width));
 	return intervalMs === undefined ? 0 : (intervalMs * (1 - spareFraction)) - (waves * loadMs);
 }
--- /dev/null
+++ b/packages/decisions/src/model-assignment.ts
@@ -0,0 +1,158 @@
+/**
+ * Which endpoints of a service are kept at the newest weights of which model.
+ *
+ * Load pattern: three trainers share six endpoints and publish a version each every few seconds. With every model loaded
+ * everywhere each endpoint is told to load three times as often, and none takes new texts for about a second then. Each
+ * endpoint therefore follows one model.
+ *
+ * The trainers' steps differ: one has short texts only, two have texts that are twice as long and over twice the work. With as many
+ * endpoints each, those of the first stand idle while texts of the others wait for seconds and are made at the pace of a full
+ * endpoint. So a model's share follows the work of its steps, and fast endpoints are dealt by who has the long texts, which
+ * decide when a step is whole. An endpoint that changes its model loads once more, so shares and places change only for
+ * a clear gain.
+ */
+import {rankCandidate} from '@wasabiusher/shared';
+import {allocateFastEndpoints, splitBySpeed} from './fast-endpoint-allocation.js';
+import type {Policy} from './policy.js';
+
+/** An endpoint with the versions of the models that it holds. */
+export type ModelEndpoint = {
+	id: string;
+	versions: ReadonlyMap<string, number>;
+	/** Its best pace of late, in milliseconds for an event; undefined while unknown. */
+	paceMs?: number;
+};
+
+/** What the steps of a model ask for of late. */
+export type ModelNeed = {
+	/** Work of a step, in any unit that the models have in common. */
+	work: number;
+	/** Its longest texts, in the same unit. */
+	longest: number;
+};
+
+export type ModelAssignmentInput = {
+	/** Endpoints that can serve now. */
+	holders: readonly ModelEndpoint[];
+	/** The newest version of each model. */
+	published: ReadonlyMap<string, number>;
+	/** Models without an entry are taken to need as little as possible, if any has one. */
+	needs: ReadonlyMap<string, ModelNeed>;
+	/** The model that each endpoint was given before, as far as known; what endpoints hold tells it for the others. */
+	last?: ReadonlyMap<string, string>;
+};
+
+/** How endpoints are shared among models; see `Policy`. */
+export type ModelAssignmentStrategy = Policy['placement'];
+
+/**
+ * How much an endpoint's part of the work must differ to go to another model, as a part of an endpoint. Hints of lengths are far off for
+ * single texts, so that the work of steps differs by a tenth from one to the next.
+ */
+const retentionBonus = 0.3;
+
+/**
+ * Models that each endpoint is to follow.
+ *
+ * @returns endpoint ids and the models they follow; with fewer endpoints than models each follows all
+ */
+export function placeModels(input: ModelAssignmentInput, strategy: ModelAssignmentStrategy = 'by-need'): Map<string, readonly string[]> {
+	return strategies[strategy](input);
+}
+
+const strategies: Readonly<Record<ModelAssignmentStrategy, (input: ModelAssignmentInput) => Map<string, readonly string[]>>> = {
+	'by-need': assignByDemand,
+	even: input => assignByDemand({...input, needs: new Map(), holders: input.holders.map(holder => ({...holder, paceMs: undefined}))}),
+	'all-models': ({holders}) => assignAllModels(holders),
+};
+
+function assignAllModels(endpoints: readonly ModelEndpoint[]): Map<string, readonly string[]> {
+	return new Map(endpoints.map(({id, versions}) => [id, [...versions.keys()]]));
+}
+
+function assignByDemand(input: ModelAssignmentInput): Map<string, readonly string[]> {
+	const {holders: endpoints} = input;
+	const models = [...new Set(endpoints.flatMap(({versions}) => [...versions.keys()]))].toSorted((a, b) => a.localeCompare(b));
+	if (models.length < 2 || endpoints.length < models.length) {
+		return assignAllModels(endpoints);
+	}
+
+	const currentModels = new Map(endpoints.map(holder => [holder.id, input.last?.get(holder.id) ?? findCurrentModel(holder, input)]));
+	const shares = allocateEndpoints(models, input, currentModels);
+	const assignments = assignEndpoints(models, shares, input, currentModels);
+	return new Map(endpoints.flatMap(holder => assignments.has(holder) ? [[holder.id, [assignments.get(holder)!]]] : []));
+}
+
+/** The model that an endpoint has followed so far: the only one that is least behind its newest version there. */
+function findCurrentModel({versions}: ModelEndpoint, {published}: ModelAssignmentInput): string | undefined {
+	const lags = [...versions].map(([model, version]) => ({model, lag: Math.max(0, (published.get(model) ?? version) - version)}));
+	const minLag = Math.min(...lags.map(({lag}) => lag));
+	const mostCurrent = lags.filter(({lag}) => lag === minLag);
+	return mostCurrent.length === 1 ? mostCurrent[0]!.model : undefined;
+}
+
+function countEndpoints(currentModels: ReadonlyMap<string, string | undefined>, model: string): number {
+	return [...currentModels.values()].filter(other => other === model).length;
+}
+
+/** How many endpoints each model gets: one at least, the rest by work; one more goes to who has it already unless another lacks clearly more. */
+function allocateEndpoints(models: readonly string[], {holders: endpoints, needs: demands}: ModelAssignmentInput, currentModels: ReadonlyMap<string, string | undefined>): Map<string, number> {
+	const works = models.map(model => demands.size === 0 ? 1 : clampWork(demands.get(model)?.work));
+	const total = Math.max(Number.EPSILON, works.reduce((sum, work) => sum + work, 0));
+	const quotas = new Map(models.map((model, i) => [model, endpoints.length * works[i]! / total]));
+	const shares = new Map(models.map(model => [model, Math.max(1, Math.floor(quotas.get(model)!))]));
+	const findShortage = (model: string) => quotas.get(model)! - shares.get(model)! + (countEndpoints(currentModels, model) > shares.get(model)! ? retentionBonus : 0);
+	for (let left = endpoints.length - sum(shares); left !== 0; left = endpoints.length - sum(shares)) {
+		const byShortage = models.toSorted((a, b) => findShortage(b) - findShortage(a));
+		const chosen = left > 0 ? byShortage[0]! : byShortage.findLast(model => shares.get(model)! > 1)!;
+		shares.set(chosen, shares.get(chosen)! + Math.sign(left));
+	}
+
+	return shares;
+}
+
+/** Greatest work or length that counts, so that sums and squares stay finite; far more than any step asks for. */
+const maxWork = 1e15;
+
+/** What can't be counted with counts for nothing. */
+export function clampWork(work = 0): number {
+	return Number.isFinite(work) ? Math.min(maxWork, Math.max(0, work)) : 0;
+}
+
+function sum(shares: ReadonlyMap<string, number>): number {
+	return [...shares.values()].reduce((total, share) => total + share, 0);
+}
+
+/** Gives each model its part of the fast endpoints, then of all others; of either first those that have followed it. */
+function assignEndpoints(models: readonly string[], shares: ReadonlyMap<string, number>, {holders: endpoints, needs: demands}: ModelAssignmentInput, currentModels: ReadonlyMap<string, string | undefined>): Map<ModelEndpoint, string> {
+	const assignments = new Map<ModelEndpoint, string>();
+	const {fast, others} = splitBySpeed(endpoints);
+	const heldFast = new Map(models.map(model => [model, fast.filter(({id}) => currentModels.get(id) === model).length]));
+	const fastShares = allocateFastEndpoints(models, {
+		fast: fast.length, shares, demands, heldFast,
+	});
+	const fill = (candidates: readonly ModelEndpoint[], countFree: (model: string) => number) => {
+		for (const isOwn of [true, false]) {
+			for (const model of models) {
+				const fit = candidates.filter(holder => !assignments.has(holder) && holder.versions.has(model) && (!isOwn || currentModels.get(holder.id) === model));
+				for (const holder of sortByRank(fit, model).slice(0, Math.max(0, countFree(model)))) {
+					assignments.set(holder, model);
+				}
+			}
+		}
+	};
+
+	const countAssigned = (model: string, among: readonly ModelEndpoint[]) => among.filter(holder => assignments.get(holder) === model).length;
+	fill(fast, model => fastShares.get(model)! - countAssigned(model, fast));
+	fill(others, model => shares.get(model)! - countAssigned(model, endpoints));
+	// What is left of the fast ones where a model holds too few of the others.
+	fill(endpoints, model => shares.get(model)! - countAssigned(model, endpoints));
+	return assignments;
+}
+
+function sortByRank(endpoints: readonly ModelEndpoint[], model: string): ModelEndpoint[] {
+	return endpoints
+		.map(holder => ({holder, rank: rankCandidate(model, holder.id)}))
+		.toSorted((a, b) => b.rank - a.rank)
+		.map(({holder}) => holder);
+}
--- a/packages/decisions/src/pace.ts
+++ b/packages/decisions/src/pace.ts
@@ -8,10 +8,10 @@
  */
 
 /** Units of work that the mean reaches back over. */
-const window = 20;
+const windowUnits = 20;
 
 /** Time after which a measured pace counts for nothing, in milliseconds, so that an endpoint that was slow is tried again. */
-const ageMs = 2000;
+const maxAgeMs = 2000;
 
 /** Longest time for a unit of work that counts, in milliseconds; loading weights takes longer. */
 const maxUnitMs = 600;
@@ -23,7 +23,7 @@
 export class Pace {
 	#meanMs = 0;
 	#count = 0;
-	#recordedAt = Number.NEGATIVE_INFINITY;
+	#lastRecordedAt = Number.NEGATIVE_INFINITY;
 
 	/** Takes one unit into the mean; a pause for new weights says nothing of the pace and is left out. */
 	record(unitMs: number): void {
@@ -32,17 +32,17 @@
 		}
 
 		const now = performance.now();
-		if (now - this.#recordedAt > ageMs) {
+		if (now - this.#lastRecordedAt > maxAgeMs) {
 			this.#count = 0;
 		}
 
-		this.#count = Math.min(window, this.#count + 1);
+		this.#count = Math.min(windowUnits, this.#count + 1);
 		this.#meanMs += (unitMs - this.#meanMs) / this.#count;
-		this.#recordedAt = now;
+		this.#lastRecordedAt = now;
 	}
 
 	/** Time for a unit of work of late, in milliseconds; undefined unless enough was measured lately. */
 	get unitMs(): number | undefined {
-		return this.#count >= minUnits && performance.now() - this.#recordedAt < ageMs ? this.#meanMs : undefined;
+		return this.#count >= minUnits && performance.now() - this.#lastRecordedAt < maxAgeMs ? this.#meanMs : undefined;
 	}
 }
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -41,7 +41,7 @@
 export type Change = {id: string; from: string; to: string};
 
 /** A model's demand and how many endpoints hold it; one that nobody asks for has no demand. */
-type Balance = {demand?: Demand; count: number};
+type ModelSupply = {demand?: Demand; count: number};
 
 /** Time that demand is taken to last until it is known, in milliseconds; a change must pay for itself within it. */
 export const defaultLastsMs = 120_000;
@@ -50,25 +50,25 @@
 const minGainRatio = 2;
 
 /** Time that an endpoint stays put after a change, in milliseconds. */
-const dwellMs = 120_000;
+const minDwellMs = 120_000;
 
 /** Part of an endpoint that must be lacking before another is given to a model, so that rounding moves nothing. */
-const minShortage = 0.5;
+const minMissingEndpoints = 0.5;
 
 /** Gain of a change that interactive callers need; it goes before all others, whatever it costs rollouts. */
-const floorGainMs = Number.MAX_SAFE_INTEGER;
+const floorChangeGainMs = Number.MAX_SAFE_INTEGER;
 
 /** Interactive demand is met with so much to spare, as its bursts are short against a change. */
-const interactiveSpare = 1.25;
+const interactiveSpareFactor = 1.25;
 
 /** Chooses the changes to order now; none while nothing outweighs its cost. */
-export function planPlacement(holders: readonly Holder[], demands: readonly Demand[], settings: PlacementSettings, now: number): Change[] {
-	const counts = countHolders(holders, demands);
-	const maxChanging = settings.maxChanging ?? Math.max(1, Math.ceil(holders.length / 3));
-	let open = maxChanging - holders.filter(({isChanging}) => isChanging).length;
-	let free = holders.filter(({isChanging, changedAt}) => !isChanging && now - changedAt >= dwellMs);
+export function planPlacement(endpoints: readonly Holder[], demands: readonly Demand[], settings: PlacementSettings, now: number): Change[] {
+	const counts = countByModel(endpoints, demands);
+	const maxChanging = settings.maxChanging ?? Math.max(1, Math.ceil(endpoints.length / 3));
+	let allowedChanges = maxChanging - endpoints.filter(({isChanging}) => isChanging).length;
+	let free = endpoints.filter(({isChanging, changedAt}) => !isChanging && now - changedAt >= minDwellMs);
 	const changes: Change[] = [];
-	while (open > 0) {
+	while (allowedChanges > 0) {
 		const change = findBestChange(free, demands, counts, settings);
 		if (!change) {
 			break;
@@ -78,31 +78,31 @@
 		counts.set(change.from, counts.get(change.from)! - 1);
 		counts.set(change.to, counts.get(change.to)! + 1);
 		free = free.filter(({id}) => id !== change.id);
-		open -= 1;
+		allowedChanges -= 1;
 	}
 
 	return changes;
 }
 
-function countHolders(holders: readonly Holder[], demands: readonly Demand[]): Map<string, number> {
+function countByModel(endpoints: readonly Holder[], demands: readonly Demand[]): Map<string, number> {
 	const counts = new Map(demands.map(({name}) => [name, 0]));
-	for (const {holds} of holders) {
+	for (const {holds} of endpoints) {
 		counts.set(holds, (counts.get(holds) ?? 0) + 1);
 	}
 
 	return counts;
 }
 
-function findBestChange(holders: readonly Holder[], demands: readonly Demand[], counts: ReadonlyMap<string, number>, {costMs}: PlacementSettings): Change | undefined {
+function findBestChange(endpoints: readonly Holder[], demands: readonly Demand[], counts: ReadonlyMap<string, number>, {costMs}: PlacementSettings): Change | undefined {
 	let best: Change | undefined;
-	let bestGain = 0;
+	let bestGainMs = 0;
 	const byName = new Map(demands.map(demand => [demand.name, demand]));
-	for (const {id, holds} of holders) {
+	for (const {id, holds} of endpoints) {
 		for (const to of demands) {
-			const gain = estimateGain({demand: byName.get(holds), count: counts.get(holds)!}, {demand: to, count: counts.get(to.name)!}, costMs(holds, to.name));
-			if (to.name !== holds && gain > bestGain) {
+			const gainMs = estimateGainMs({demand: byName.get(holds), count: counts.get(holds)!}, {demand: to, count: counts.get(to.name)!}, costMs(holds, to.name));
+			if (to.name !== holds && gainMs > bestGainMs) {
 				best = {id, from: holds, to: to.name};
-				bestGain = gain;
+				bestGainMs = gainMs;
 			}
 		}
 	}
@@ -111,29 +111,29 @@
 }
 
 /** Work gained within the horizon less that lost by the change, in endpoint milliseconds; 0 if it should not be made. */
-function estimateGain(from: Balance, to: Balance, costMs: number): number {
+function estimateGainMs(from: ModelSupply, to: ModelSupply, costMs: number): number {
 	if (isBelowFloor({...from, count: from.count - 1})) {
 		return 0;
 	}
 
 	const isNeeded = isBelowFloor(to);
 	if (isBelowFloor(to)) {
-		return floorGainMs;
+		return floorChangeGainMs;
 	}
 
 	const {total = 0, lastsMs = defaultLastsMs} = to.demand ?? {};
-	const lacking = Math.min(1, total - to.count);
-	if (lacking < minShortage) {
+	const missing = Math.min(1, total - to.count);
+	if (missing < minMissingEndpoints) {
 		return 0;
 	}
 
 	const peak = from.demand?.peak ?? from.demand?.total ?? 0;
 	const lost = Math.min(1, Math.max(0, peak - (from.count - 1)));
-	const gainMs = (lacking - lost) * Math.max(0, lastsMs - costMs);
+	const gainMs = (missing - lost) * Math.max(0, lastsMs - costMs);
 	return gainMs >= minGainRatio * costMs ? gainMs : 0;
 }
 
 /** Whether interactive callers of a model have fewer endpoints than they need; at least one if there are any. */
-function isBelowFloor({demand, count}: Balance): boolean {
-	return demand !== undefined && demand.interactive > 0 && count < Math.max(1, demand.interactive * interactiveSpare);
+function isBelowFloor({demand, count}: ModelSupply): boolean {
+	return demand !== undefined && demand.interactive > 0 && count < Math.max(1, demand.interactive * interactiveSpareFactor);
 }
--- a/packages/decisions/src/poison.ts
+++ b/packages/decisions/src/poison.ts
@@ -37,7 +37,7 @@
 	terms: number;
 };
 
-type Row = {crashes: Set<string>; cleared: Set<string>; until: number; terms: number};
+type Suspect = {crashes: Set<string>; cleared: Set<string>; until: number; terms: number};
 
 export type PoisonLimits = {
 	/** Crashes of different runs at which a request must have been in flight to be quarantined. */
@@ -51,14 +51,14 @@
 /** For requests that run alone once they are suspect; callers that send again do so within minutes. */
 const defaultLimits: PoisonLimits = {crashesToQuarantine: 2, suspicionMs: 600_000, firstTermMs: 600_000};
 
-const maxTermMs = 86_400_000;
+const maxQuarantineMs = 86_400_000;
 
 /** Fingerprints remembered; an endpoint holds some hundred requests, so this covers a hundred crashes in some megabytes. */
-const maxRows = 10_000;
+const maxSuspects = 10_000;
 
 /** Judges requests by what crashed. */
 export class PoisonGuard {
-	readonly #rows = new Map<string, Row>();
+	readonly #suspects = new Map<string, Suspect>();
 	readonly #limits: PoisonLimits;
 
 	constructor(limits: Partial<PoisonLimits> = {}) {
@@ -67,19 +67,19 @@
 
 	/** Requests that are or were suspect; while there are none, none needs a fingerprint. */
 	get size(): number {
-		return this.#rows.size;
+		return this.#suspects.size;
 	}
 
 	/** Whether a request was in flight at a crash of late. */
 	isSuspect(fingerprint: string): boolean {
-		const row = this.#rows.get(fingerprint);
-		return row !== undefined && listActive(row).length > 0;
+		const row = this.#suspects.get(fingerprint);
+		return row !== undefined && listUnclearedCrashes(row).length > 0;
 	}
 
 	/** How a request may run now. */
 	judge(fingerprint: string, now: number): Verdict {
-		const row = this.#rows.get(fingerprint);
-		const crashes = row ? listActive(row) : [];
+		const row = this.#suspects.get(fingerprint);
+		const crashes = row ? listUnclearedCrashes(row) : [];
 		if (!row || crashes.length === 0 || (now >= row.until && row.terms === 0)) {
 			return {kind: 'free'};
 		}
@@ -99,7 +99,7 @@
 
 	/** It finished, so it was not what crashed an endpoint. */
 	recordFinished(fingerprint: string): void {
-		const row = this.#rows.get(fingerprint);
+		const row = this.#suspects.get(fingerprint);
 		if (row) {
 			row.cleared = new Set([...row.cleared, ...row.crashes]);
 		}
@@ -107,7 +107,7 @@
 
 	/** What to tell other entries. */
 	list(now: number): Suspicion[] {
-		return [...this.#rows].map(([fingerprint, {crashes, cleared, until, terms}]) => ({
+		return [...this.#suspects].map(([fingerprint, {crashes, cleared, until, terms}]) => ({
 			fingerprint, crashes: [...crashes], cleared: [...cleared], remainingMs: Math.max(0, until - now), terms,
 		}));
 	}
@@ -116,7 +116,7 @@
 	merge(suspicions: readonly Suspicion[], now: number): void {
 		for (const {fingerprint, crashes, cleared, remainingMs, terms} of suspicions) {
 			this.#addCrashes(fingerprint, crashes, now);
-			const row = this.#rows.get(fingerprint)!;
+			const row = this.#suspects.get(fingerprint)!;
 			row.cleared = new Set([...row.cleared, ...cleared]);
 			row.terms = Math.max(row.terms, terms);
 			row.until = Math.max(row.until, now + remainingMs);
@@ -124,32 +124,32 @@
 	}
 
 	#addCrashes(fingerprint: string, crashes: readonly string[], now: number): void {
-		const row = this.#rows.get(fingerprint) ?? {
+		const row = this.#suspects.get(fingerprint) ?? {
 			crashes: new Set(), cleared: new Set(), until: 0, terms: 0,
 		};
 		const isNew = crashes.some(crash => !row.crashes.has(crash) && !row.cleared.has(crash));
 		row.crashes = new Set([...row.crashes, ...crashes]);
-		this.#rows.delete(fingerprint);
-		this.#rows.set(fingerprint, row);
+		this.#suspects.delete(fingerprint);
+		this.#suspects.set(fingerprint, row);
 		if (isNew) {
-			extendTerm(row, now, this.#limits);
+			extendDeadline(row, now, this.#limits);
 		}
 
-		dropOldest(this.#rows, maxRows);
+		dropOldest(this.#suspects, maxSuspects);
 	}
 }
 
-function extendTerm(row: Row, now: number, {crashesToQuarantine, suspicionMs, firstTermMs}: PoisonLimits): void {
-	if (listActive(row).length < crashesToQuarantine) {
+function extendDeadline(row: Suspect, now: number, {crashesToQuarantine, suspicionMs, firstTermMs}: PoisonLimits): void {
+	if (listUnclearedCrashes(row).length < crashesToQuarantine) {
 		row.until = Math.max(row.until, now + suspicionMs);
 		return;
 	}
 
-	row.until = now + Math.min(maxTermMs, firstTermMs * (2 ** row.terms));
+	row.until = now + Math.min(maxQuarantineMs, firstTermMs * (2 ** row.terms));
 	row.terms += 1;
 }
 
-function listActive({crashes, cleared}: Row): string[] {
+function listUnclearedCrashes({crashes, cleared}: Suspect): string[] {
 	return [...crashes].filter(crash => !cleared.has(crash));
 }
 
--- a/packages/decisions/src/prefix-index.ts
+++ b/packages/decisions/src/prefix-index.ts
@@ -29,7 +29,7 @@
 	blocks: readonly string[];
 };
 
-type Cache = {
+type EndpointCache = {
 	/** Blocks from the least to the most recently used, with when they were last used. */
 	blocks: Map<string, number>;
 	sequence: number | undefined;
@@ -52,9 +52,9 @@
 
 /** Remembers prefixes by endpoint, bounded for each. */
 export class PrefixIndex {
-	readonly #caches = new Map<string, Cache>();
+	readonly #caches = new Map<string, EndpointCache>();
 	readonly #capacity: number;
-	readonly #handlers: Readonly<Record<CacheEvent['kind'], (cache: Cache, blocks: readonly string[], now: number) => void>> = {
+	readonly #handlers: Readonly<Record<CacheEvent['kind'], (cache: EndpointCache, blocks: readonly string[], now: number) => void>> = {
 		stored: (cache, blocks, now) => {
 			this.#touch(cache, blocks, now);
 		},
@@ -106,12 +106,12 @@
 			return 0;
 		}
 
-		const matched = countMatched(cache, blocks);
+		const matched = countCachedBlocks(cache, blocks);
 		const isTrusted = matched > 0 && cache.blocks.get(blocks[matched - 1]!)! >= cache.trustedSince;
 		return matched * (isTrusted ? 1 : 0.5) / blocks.length;
 	}
 
-	#findCache(endpoint: string): Cache {
+	#findCache(endpoint: string): EndpointCache {
 		let cache = this.#caches.get(endpoint);
 		if (!cache) {
 			cache = {blocks: new Map(), sequence: undefined, trustedSince: Number.NEGATIVE_INFINITY};
@@ -122,7 +122,7 @@
 	}
 
 	/** The longest prefix counts as used first, so that it is forgotten before those that it begins with. */
-	#touch(cache: Cache, blocks: readonly string[], now: number): void {
+	#touch(cache: EndpointCache, blocks: readonly string[], now: number): void {
 		for (const block of blocks.toReversed()) {
 			cache.blocks.delete(block);
 			cache.blocks.set(block, now);
@@ -136,7 +136,7 @@
  * Blocks of the longest prefix that is cached, by bisection: what is cached of a prompt has no holes but for lost events,
  * and after those any answer is a guess. Six look-ups an endpoint instead of up to 64.
  */
-function countMatched({blocks: cached}: Cache, blocks: readonly string[]): number {
+function countCachedBlocks({blocks: cached}: EndpointCache, blocks: readonly string[]): number {
 	let matched = 0;
 	let end = blocks.length;
 	while (matched < end) {
--- a/packages/decisions/src/renewals.ts
+++ b/packages/decisions/src/regenerations.ts
@@ -8,7 +8,7 @@
  */
 
 /** What is known of a text that is being made. */
-export type RenewableText = {
+export type RegenerationCandidate = {
 	id: string;
 	/** Events made so far. */
 	events: number;
@@ -22,16 +22,16 @@
  * Events from which a text is taken for one that its step may end without: of some 2,800 texts two thirds were shorter than half of
  * that and one in seven was as long.
  */
-const leastEvents = 60;
+const minEvents = 60;
 
 /**
  * Ids of the texts to begin a second time, the longest first.
  *
  * @param published - newest version of the weights
  */
-export function chooseRenewals(texts: readonly RenewableText[], published: number): string[] {
+export function chooseRenewals(texts: readonly RegenerationCandidate[], published: number): string[] {
 	return texts
-		.filter(({events, oldestVersion, isRenewed}) => !isRenewed && events >= leastEvents && oldestVersion < published)
+		.filter(({events, oldestVersion, isRenewed}) => !isRenewed && events >= minEvents && oldestVersion < published)
 		.toSorted((a, b) => b.events - a.events)
 		.map(({id}) => id);
 }
--- a/packages/decisions/src/retries.ts
+++ b/packages/decisions/src/retries.ts
@@ -11,7 +11,7 @@
 const retryRatio = 0.1;
 
 /** Retries that a caller may have saved up: enough for a single failure now and then of a caller that sends little. */
-const maxSaved = 3;
+const maxSavedRetries = 3;
 
 /** Callers remembered; the one unused longest is forgotten first, and starts again with what may be saved up. */
 const maxCallers = 10_000;
@@ -23,10 +23,10 @@
 const maxReroutes = 3;
 
 /** Mean wait before the first retry, in milliseconds; doubles with each, spread by full jitter (Brooker, 2015). */
-const firstDelayMs = 50;
+const initialDelayMs = 50;
 
 /** What is known when an attempt has failed. */
-export type Failure = {
+export type FailedAttempt = {
 	caller: string;
 	/** Whether the attempt may have had an effect; `no` only if proven. */
 	ran: Ran;
@@ -51,7 +51,7 @@
 	readonly #tokens = new Map<string, number>();
 
 	recordFirstTry(caller: string): void {
-		this.#set(caller, Math.min(maxSaved, this.#get(caller) + retryRatio));
+		this.#set(caller, Math.min(maxSavedRetries, this.#get(caller) + retryRatio));
 	}
 
 	/** Takes one retry; false when the budget is spent. */
@@ -66,7 +66,7 @@
 	}
 
 	#get(caller: string): number {
-		return this.#tokens.get(caller) ?? maxSaved;
+		return this.#tokens.get(caller) ?? maxSavedRetries;
 	}
 
 	#set(caller: string, tokens: number): void {
@@ -77,7 +77,7 @@
 }
 
 /** Decides on a failed attempt; takes from the budget if it is to be made again. */
-export function decideRetry(failure: Failure, budget: RetryBudget, random: Random, now: number): RetryDecision {
+export function decideRetry(failure: FailedAttempt, budget: RetryBudget, random: Random, now: number): RetryDecision {
 	const {ran, isIdempotent, isRefusal, attempts, refusals, deadlineAt, serviceMs} = failure;
 	if (ran !== 'no' && !isIdempotent) {
 		return {kind: 'give-up', reason: 'may-have-run'};
@@ -88,7 +88,7 @@
 	}
 
 	// A refusal is answered at once by another endpoint's agent; there is nothing to wait for.
-	const delayMs = isRefusal ? 0 : random.next() * 2 * firstDelayMs * (2 ** (attempts - 1));
+	const delayMs = isRefusal ? 0 : random.next() * 2 * initialDelayMs * (2 ** (attempts - 1));
 	if (now + delayMs + serviceMs > deadlineAt) {
 		return {kind: 'give-up', reason: 'deadline-too-near'};
 	}
--- a/packages/decisions/src/return-plan.ts
+++ b/packages/decisions/src/retry-after-plan.ts
@@ -18,42 +18,42 @@
 };
 
 /** Time that a request is taken for while none was measured, in milliseconds. */
-export const usualWorkMs = 100;
+export const defaultWorkMs = 100;
 
 /** Shortest and longest time that a caller is told, in milliseconds: a round trip, and what callers with a budget of some seconds will still wait. */
-const leastMs = 20;
-const mostMs = 2000;
+const minReturnMs = 20;
+const maxReturnMs = 2000;
 
 /**
  * Part of the drain's interval at which callers return. Requests end in bursts, and at the drain's own pace a slot that was missed stays empty: a
  * burst of forty took a fifth longer than with callers that come all the time.
  */
-const paceFactor = 0.7;
+const returnIntervalFactor = 0.7;
 
 /** When refused callers of one service return. */
 export class ReturnPlan {
 	/** When the caller returns that was refused last, on the monotonic clock. */
-	#lastAt = Number.NEGATIVE_INFINITY;
+	#lastReturnAt = Number.NEGATIVE_INFINITY;
 
 	/**
 	 * Time after which a caller that is refused now should come back, in milliseconds.
 	 *
-	 * @param rooms - the endpoints of its service that can be asked; without any the caller is told the time of one request
+	 * @param endpoints - the endpoints of its service that can be asked; without any the caller is told the time of one request
 	 */
-	plan(rooms: readonly EndpointRoom[]): number {
+	plan(endpoints: readonly EndpointRoom[]): number {
 		const now = performance.now();
-		const perMs = rooms.reduce((sum, {slots, workMs = usualWorkMs}) => sum + (slots / workMs), 0);
-		const intervalMs = paceFactor * (perMs > 0 ? 1 / perMs : usualWorkMs);
-		const freeMs = rooms.length === 0 ? usualWorkMs : Math.min(...rooms.map(room => findFreeMs(room)));
-		const returnAt = Math.max(now + Math.max(leastMs, freeMs), this.#lastAt + intervalMs);
-		const afterMs = Math.min(mostMs, returnAt - now);
-		this.#lastAt = now + afterMs;
+		const perMs = endpoints.reduce((sum, {slots, workMs = defaultWorkMs}) => sum + (slots / workMs), 0);
+		const intervalMs = returnIntervalFactor * (perMs > 0 ? 1 / perMs : defaultWorkMs);
+		const freeMs = endpoints.length === 0 ? defaultWorkMs : Math.min(...endpoints.map(room => estimateFreeSlotMs(room)));
+		const returnAt = Math.max(now + Math.max(minReturnMs, freeMs), this.#lastReturnAt + intervalMs);
+		const afterMs = Math.min(maxReturnMs, returnAt - now);
+		this.#lastReturnAt = now + afterMs;
 		return Math.round(afterMs);
 	}
 }
 
 /** Time until a slot is free for a newcomer, in milliseconds. */
-function findFreeMs({slots, running, waiting, workMs = usualWorkMs}: EndpointRoom): number {
+function estimateFreeSlotMs({slots, running, waiting, workMs = defaultWorkMs}: EndpointRoom): number {
 	const ahead = Math.max(0, running + waiting + 1 - slots);
 	return ahead * workMs / Math.max(1, slots);
 }
--- a/packages/decisions/src/routing.ts
+++ b/packages/decisions/src/routing.ts
@@ -32,7 +32,7 @@
 	/** Data centre of this entry; without it all candidates count as near. */
 	dataCentre?: string;
 	/** What the way to another data centre costs, in milliseconds. */
-	spillMs?: number;
+	spilloverMs?: number;
 	/** Candidates compared, besides the one with the most cached. */
 	choices?: number;
 };
@@ -48,37 +48,37 @@
  * Cost of another data centre in milliseconds: there and back at the 1.5 ms one way of both deployments, and the
  * rest so that small differences, which lagging reports can't tell, don't carry work across.
  */
-export const defaultSpillMs = 25;
+export const defaultSpilloverMs = 25;
 
 /**
  * Load for its limit, over the mean, up to which an endpoint is preferred for its cache. In the same sweep the part of
  * shared prompts computed anew is 0.68 at 1, 0.46 at 1.25, 0.44 at 1.5 and at 2, and p99 447, 426, 424 and 429 ms.
  */
-const affinityBound = 1.25;
+const maxAffinityRatio = 1.25;
 
 /** Picks by least estimated time; ties by chance. Undefined when there is none in use. */
 export function chooseEndpoint(candidates: readonly Candidate[], random: Random, options: RoutingOptions = {}): Candidate | undefined {
 	const usable = candidates.filter(({isLeaving, isEjected}) => !isLeaving && !isEjected);
-	const near = usable.filter(candidate => isNear(candidate, options));
-	const far = near.length === usable.length ? [] : usable.filter(candidate => !isNear(candidate, options));
+	const local = usable.filter(candidate => isLocal(candidate, options));
+	const remote = local.length === usable.length ? [] : usable.filter(candidate => !isLocal(candidate, options));
 	const choices = options.choices ?? defaultChoices;
-	const cached = findCached(usable);
-	const drawn = [...draw(listOpen(near), choices, random), ...draw(listOpen(far), choices, random)];
-	return findLeast([...drawn, ...cached], new Set(cached), options);
+	const cached = listPrefixHolders(usable);
+	const sampled = [...drawRandomly(preferFreeSlots(local), choices, random), ...drawRandomly(preferFreeSlots(remote), choices, random)];
+	return findFastest([...sampled, ...cached], new Set(cached), options);
 }
 
-function isNear({dataCentre}: Candidate, options: RoutingOptions): boolean {
+function isLocal({dataCentre}: Candidate, options: RoutingOptions): boolean {
 	return options.dataCentre === undefined || dataCentre === undefined || dataCentre === options.dataCentre;
 }
 
 /** Those with a free slot, or all if none has; a draw of a few could miss the last free ones. */
-function listOpen(candidates: readonly Candidate[]): readonly Candidate[] {
+function preferFreeSlots(candidates: readonly Candidate[]): readonly Candidate[] {
 	const open = candidates.filter(({load, limit}) => load < limit);
 	return open.length > 0 ? open : candidates;
 }
 
 /** Some of the items in an order by chance; a partial Fisher–Yates shuffle. */
-function draw(items: readonly Candidate[], count: number, random: Random): Candidate[] {
+function drawRandomly(items: readonly Candidate[], count: number, random: Random): Candidate[] {
 	const pool = [...items];
 	const drawn = Math.min(count, pool.length);
 	for (let i = 0; i < drawn; i++) {
@@ -90,25 +90,25 @@
 }
 
 /** Those that cache some of the prompt and whose load is within the bound. */
-function findCached(candidates: readonly Candidate[]): Candidate[] {
+function listPrefixHolders(candidates: readonly Candidate[]): Candidate[] {
 	if (!candidates.some(({cached}) => cached !== undefined && cached > 0)) {
 		return [];
 	}
 
-	const total = candidates.reduce((sum, candidate) => sum + fill(candidate), 0);
-	const bound = affinityBound * total / candidates.length;
+	const total = candidates.reduce((sum, candidate) => sum + estimateUtilization(candidate), 0);
+	const maxUtilization = maxAffinityRatio * total / candidates.length;
 	// A free endpoint is within any bound.
-	return candidates.filter(candidate => (candidate.cached ?? 0) > 0 && fill(candidate) <= Math.max(bound, 1 / candidate.limit));
+	return candidates.filter(candidate => (candidate.cached ?? 0) > 0 && estimateUtilization(candidate) <= Math.max(maxUtilization, 1 / candidate.limit));
 }
 
 /** The one of least time, with the way there and what the cache of some saves. */
-function findLeast(candidates: readonly Candidate[], cached: ReadonlySet<Candidate>, options: RoutingOptions): Candidate | undefined {
+function findFastest(candidates: readonly Candidate[], cached: ReadonlySet<Candidate>, options: RoutingOptions): Candidate | undefined {
 	let best: Candidate | undefined;
 	let bestMs = Number.POSITIVE_INFINITY;
 	for (const candidate of candidates) {
-		const distanceMs = isNear(candidate, options) ? 0 : options.spillMs ?? defaultSpillMs;
+		const distanceMs = isLocal(candidate, options) ? 0 : options.spilloverMs ?? defaultSpilloverMs;
 		const savedMs = cached.has(candidate) ? (candidate.serviceMs ?? 1) * candidate.cached! : 0;
-		const timeMs = estimateTime(candidate) + distanceMs - savedMs;
+		const timeMs = estimateTimeMs(candidate) + distanceMs - savedMs;
 		if (timeMs < bestMs) {
 			best = candidate;
 			bestMs = timeMs;
@@ -119,12 +119,12 @@
 }
 
 /** Load for its limit once the request is there. */
-function fill({load, limit}: Candidate): number {
+function estimateUtilization({load, limit}: Candidate): number {
 	return (load + 1) / Math.max(1, limit);
 }
 
 /** Time at an endpoint in milliseconds: a batch slows what runs in it, and what is over the limit waits. */
-export function estimateTime(candidate: Candidate): number {
-	const used = fill(candidate);
-	return (candidate.serviceMs ?? 1) * (used + Math.max(0, used - 1));
+export function estimateTimeMs(candidate: Candidate): number {
+	const utilization = estimateUtilization(candidate);
+	return (candidate.serviceMs ?? 1) * (utilization + Math.max(0, utilization - 1));
 }
--- a/packages/decisions/src/sample-order.ts
+++ b/packages/decisions/src/sample-order.ts
@@ -28,9 +28,9 @@
 		longest: Math.max(...members.map(({expectedTokens}) => expectedTokens)),
 		isCarried: members.some(({isCarried}) => isCarried),
 	}));
-	const carried = groups.filter(({isCarried}) => isCarried);
+	const carriedOver = groups.filter(({isCarried}) => isCarried);
 	const others = groups.filter(({isCarried}) => !isCarried).toSorted((a, b) => b.longest - a.longest);
 	const spare = Math.max(0, groups.length - wantedGroups);
-	const ordered = [...carried, ...others.slice(spare), ...others.slice(0, spare).toReversed()];
+	const ordered = [...carriedOver, ...others.slice(spare), ...others.slice(0, spare).toReversed()];
 	return ordered.flatMap(({samples: members}) => members.map(({id}) => id));
 }
--- a/packages/decisions/src/speed-model.ts
+++ b/packages/decisions/src/speed-model.ts
@@ -12,13 +12,13 @@
 const maxRuns = 16;
 
 /** Own runs from which on they alone tell the class; a wrong guess is forgotten with that. */
-const ownRuns = 8;
+const minOwnRuns = 8;
 
 /** Own runs before the class is told to others. */
-const toldRuns = 3;
+const minReportedRuns = 3;
 
 /** Time over which what an endpoint told of the present fades, in milliseconds; it changes several times a second. */
-const momentMs = 600;
+const transientFadeMs = 600;
 
 /** Greatest factor of a spell or moment that counts: worse ones differ in nothing that is decided. */
 const maxFactor = 10;
@@ -30,7 +30,7 @@
 	readonly #runs: number[] = [];
 	/** The least of them; asked for far more often than a run ends. */
 	#bestRunMs = Number.POSITIVE_INFINITY;
-	#guessMs: number | undefined;
+	#assumedPersistentMs: number | undefined;
 	#slowness = 1;
 	#slownessAt = Number.NEGATIVE_INFINITY;
 
@@ -51,7 +51,7 @@
 
 	/** Takes over a class that was measured by others or earlier, in milliseconds for a unit. */
 	guessClass(unitMs: number): void {
-		this.#guessMs = unitMs;
+		this.#assumedPersistentMs = unitMs;
 	}
 
 	/** Learns what the endpoint tells of this moment; 1 as usual. */
@@ -61,14 +61,14 @@
 	}
 
 	/** Time for a unit when nothing is wrong, in milliseconds: the best of the last runs, since no run is faster than its endpoint. */
-	get classMs(): number | undefined {
-		const bestMs = this.#runs.length >= ownRuns ? this.#bestRunMs : Math.min(this.#bestRunMs, this.#guessMs ?? Number.POSITIVE_INFINITY);
+	get persistentMs(): number | undefined {
+		const bestMs = this.#runs.length >= minOwnRuns ? this.#bestRunMs : Math.min(this.#bestRunMs, this.#assumedPersistentMs ?? Number.POSITIVE_INFINITY);
 		return Number.isFinite(bestMs) ? bestMs : undefined;
 	}
 
 	/** The class, if this process has measured it well enough to tell others. */
 	get ownClassMs(): number | undefined {
-		return this.#runs.length >= toldRuns ? this.#bestRunMs : undefined;
+		return this.#runs.length >= minReportedRuns ? this.#bestRunMs : undefined;
 	}
 
 	/** Mean time for a unit of late, in milliseconds; undefined unless enough was measured lately. */
@@ -79,18 +79,18 @@
 	/** Factor by which it is slower at this moment; 1 as usual. */
 	get moment(): number {
 		const ageMs = performance.now() - this.#slownessAt;
-		return ageMs < momentMs ? 1 + ((this.#slowness - 1) * (1 - (ageMs / momentMs))) : 1;
+		return ageMs < transientFadeMs ? 1 + ((this.#slowness - 1) * (1 - (ageMs / transientFadeMs))) : 1;
 	}
 
 	get speed(): EndpointSpeed {
-		const {classMs, recentMs, moment} = this;
-		const spell = classMs === undefined || recentMs === undefined ? 1 : Math.min(maxFactor, Math.max(1, recentMs / classMs));
-		return {classMs, spell, moment};
+		const {persistentMs, recentMs, moment: transientFactor} = this;
+		const episodicFactor = persistentMs === undefined || recentMs === undefined ? 1 : Math.min(maxFactor, Math.max(1, recentMs / persistentMs));
+		return {classMs: persistentMs, spell: episodicFactor, transientFactor};
 	}
 
 	/** Expected time for the next units, in milliseconds; undefined while nothing is known. */
 	get expectedMs(): number | undefined {
-		const {classMs, spell, moment} = this.speed;
-		return classMs === undefined ? this.recentMs && this.recentMs * moment : classMs * Math.max(spell, moment);
+		const {classMs: persistentMs, spell: episodicFactor, transientFactor} = this.speed;
+		return persistentMs === undefined ? this.recentMs && this.recentMs * transientFactor : persistentMs * Math.max(episodicFactor, transientFactor);
 	}
 }
--- a/packages/decisions/src/staleness.ts
+++ b/packages/decisions/src/staleness.ts
@@ -19,7 +19,7 @@
 };
 
 /** Work that may be started. */
-export type Draft = {
+export type PlannedWork = {
 	/** Version that the endpoint reports. */
 	engineVersion: number;
 	/** When it is expected to be whole. */
@@ -29,7 +29,7 @@
 };
 
 /** What made a sample. */
-export type Origin = {
+export type SampleOrigin = {
 	/** Version of its oldest part. */
 	oldestVersion: number;
 	/** When a newer version than that came, on the clock of `now`; undefined if none has. */
@@ -37,7 +37,7 @@
 };
 
 /** `wait` means that a newer version will come and then the work can be in time. */
-export type DispatchVerdict = 'start' | 'wait';
+export type DispatchDecision = 'start' | 'wait';
 
 /** Version that the trainer will state at a time. */
 export function estimateVersion({current, since, intervalMs}: VersionForecast, at: number): number {
@@ -45,8 +45,8 @@
 }
 
 /** Whether work may be started now. */
-export function judgeDispatch(freshness: Freshness, forecast: VersionForecast, draft: Draft, now: number): DispatchVerdict {
-	if (countLag(forecast, draft) <= freshness.versions) {
+export function judgeDispatch(freshness: Freshness, forecast: VersionForecast, draft: PlannedWork, now: number): DispatchDecision {
+	if (countVersionLag(forecast, draft) <= freshness.versions) {
 		return 'start';
 	}
 
@@ -54,17 +54,17 @@
 		return 'wait';
 	}
 
-	return isBetterAfterNext(freshness, forecast, draft, now) ? 'wait' : 'start';
+	return canFinishFreshAfterNextVersion(freshness, forecast, draft, now) ? 'wait' : 'start';
 }
 
 /** Versions that the work would lie behind its trainer when it is taken. Each step taken makes one version. */
-function countLag(forecast: VersionForecast, {engineVersion, finishAt, stepsAhead}: Draft): number {
-	const byOrder = forecast.current + stepsAhead;
-	return Math.max(byOrder, estimateVersion(forecast, finishAt)) - engineVersion;
+function countVersionLag(forecast: VersionForecast, {engineVersion, finishAt, stepsAhead}: PlannedWork): number {
+	const versionByStepOrder = forecast.current + stepsAhead;
+	return Math.max(versionByStepOrder, estimateVersion(forecast, finishAt)) - engineVersion;
 }
 
 /** On the newest weights, waiting helps only if the work fits between later versions; else it would wait for ever. */
-function isBetterAfterNext(freshness: Freshness, forecast: VersionForecast, draft: Draft, now: number): boolean {
+function canFinishFreshAfterNextVersion(freshness: Freshness, forecast: VersionForecast, draft: PlannedWork, now: number): boolean {
 	const {intervalMs} = forecast;
 	if (intervalMs === undefined) {
 		return false;
@@ -75,7 +75,7 @@
 }
 
 /** Whether a sample may not be handed over to a trainer at this version; the last word, from reported versions only. */
-export function isStale(freshness: Freshness, {oldestVersion, supersededAt}: Origin, trainerVersion: number, now: number): boolean {
+export function isStale(freshness: Freshness, {oldestVersion, supersededAt}: SampleOrigin, trainerVersion: number, now: number): boolean {
 	const isTooOld = trainerVersion - oldestVersion > freshness.versions;
 	const isTooLate = freshness.seconds !== undefined && supersededAt !== undefined && now - supersededAt > freshness.seconds * 1000;
 	return isTooOld || isTooLate;
@@ -85,12 +85,12 @@
  * Whether a running sample is to be cancelled and drawn again: it is stale for the step that it belongs to, so that
  * each further token would be thrown away.
  */
-export function shouldCancel(freshness: Freshness, origin: Origin, {current, stepsAhead}: {current: number; stepsAhead: number}, now: number): boolean {
+export function shouldCancel(freshness: Freshness, origin: SampleOrigin, {current, stepsAhead}: {current: number; stepsAhead: number}, now: number): boolean {
 	return isStale(freshness, origin, current + stepsAhead, now);
 }
 
 /** Weight of the newest interval; versions come at a steady pace, so a few are enough. */
-const intervalSmoothing = 0.5;
+const intervalSmoothingWeight = 0.5;
 
 /** Forecast after the trainer has stated a version; the same or a lower one changes nothing. */
 export function observeVersion(forecast: VersionForecast | undefined, version: number, now: number): VersionForecast {
@@ -103,6 +103,6 @@
 	}
 
 	const measuredMs = (now - forecast.since) / (version - forecast.current);
-	const intervalMs = forecast.intervalMs === undefined ? measuredMs : forecast.intervalMs + (intervalSmoothing * (measuredMs - forecast.intervalMs));
+	const intervalMs = forecast.intervalMs === undefined ? measuredMs : forecast.intervalMs + (intervalSmoothingWeight * (measuredMs - forecast.intervalMs));
 	return {current: version, since: now, intervalMs};
 }
--- a/packages/decisions/src/step-order.ts
+++ b/packages/decisions/src/step-order.ts
@@ -22,11 +22,11 @@
 /** Orders samples: redrawn ones, one of each unknown group, then whole groups, those with the longest sample first. */
 export function orderSamples(samples: readonly PendingSample[]): PendingSample[] {
 	const longest = new Map<number, number>();
-	const scouts = new Map<number, number>();
+	const probes = new Map<number, number>();
 	for (const {group, index, predictedTokens, isUnknown} of samples) {
 		longest.set(group, Math.max(predictedTokens, longest.get(group) ?? 0));
 		if (isUnknown && index === 0) {
-			scouts.set(group, index);
+			probes.set(group, index);
 		}
 	}
 
@@ -35,7 +35,7 @@
 			return 0;
 		}
 
-		return scouts.get(group) === index ? 1 : 2;
+		return probes.get(group) === index ? 1 : 2;
 	};
 
 	return samples.toSorted((a, b) =>
@@ -46,7 +46,7 @@
 }
 
 /** A prediction is a mean; a sample may well take this many times as long. */
-const predictionMargin = 1.5;
+const lengthMargin = 1.5;
 
 /**
  * Chooses the next sample for an endpoint: the longest that it likely finishes before the step would be whole,
@@ -57,7 +57,7 @@
  * @param timeLeftMs - predicted tokens left of the step over what all endpoints make in a millisecond
  */
 export function chooseSample(ordered: readonly PendingSample[], speed: number, timeLeftMs: number): PendingSample | undefined {
-	const fitting = ordered.find(({predictedTokens}) => predictionMargin * predictedTokens / speed <= timeLeftMs);
+	const fitting = ordered.find(({predictedTokens}) => lengthMargin * predictedTokens / speed <= timeLeftMs);
 	if (fitting) {
 		return fitting;
 	}
--- a/packages/decisions/src/stragglers.ts
+++ b/packages/decisions/src/stragglers.ts
@@ -38,13 +38,13 @@
  * Part of a step that must be finished or running before any copy is worth its work; before that only of a
  * sample that would outlast the step where it runs.
  */
-const lateFraction = 0.9;
+const lateStepFraction = 0.9;
 
 /** A copy must be expected to finish in less than this part of the time that the first still takes. */
-const worthwhile = 0.7;
+const maxCopyTimeFraction = 0.7;
 
 /** Time to compute a moved sample's text so far at its new place, in milliseconds for each token; prompts compute some hundred times as fast as answers. */
-const recomputeMs = 0.1;
+const recomputeMsPerToken = 0.1;
 
 /**
  * Chooses copies, longest remaining time first; to be asked before new samples are given the free slots.
@@ -53,16 +53,16 @@
  * @param canResume - whether a copy may go on from the text so far
  */
 export function planCopies(stragglers: readonly Straggler[], idle: readonly IdleEndpoint[], startedFraction: number, canResume: boolean): Copy[] {
-	const places = idle.map(endpoint => ({...endpoint}));
+	const targets = idle.map(endpoint => ({...endpoint}));
 	const copies: Copy[] = [];
 	const slowest = stragglers
 		.filter(straggler => !straggler.isDoubled && isLate(straggler, startedFraction))
 		.toSorted((a, b) => (b.remainingTokens / b.speed) - (a.remainingTokens / a.speed));
 	for (const straggler of slowest) {
-		const place = findFastest(places, straggler.endpoint);
-		if (place && estimateCopy(straggler, place, canResume) < worthwhile * straggler.remainingTokens / straggler.speed) {
-			place.slots -= 1;
-			copies.push({sample: straggler.id, to: place.id});
+		const target = findFastest(targets, straggler.endpoint);
+		if (target && estimateCopyMs(straggler, target, canResume) < maxCopyTimeFraction * straggler.remainingTokens / straggler.speed) {
+			target.slots -= 1;
+			copies.push({sample: straggler.id, to: target.id});
 		}
 	}
 
@@ -70,16 +70,16 @@
 }
 
 function isLate({remainingTokens, speed, stepLeftMs}: Straggler, startedFraction: number): boolean {
-	return startedFraction >= lateFraction || (stepLeftMs !== undefined && remainingTokens / speed > stepLeftMs);
+	return startedFraction >= lateStepFraction || (stepLeftMs !== undefined && remainingTokens / speed > stepLeftMs);
 }
 
-function findFastest(places: readonly IdleEndpoint[], avoid: string): IdleEndpoint | undefined {
-	return places
+function findFastest(targets: readonly IdleEndpoint[], avoid: string): IdleEndpoint | undefined {
+	return targets
 		.filter(({id, slots}) => slots > 0 && id !== avoid)
 		.toSorted((a, b) => b.speed - a.speed)[0];
 }
 
 /** Time of a copy in milliseconds. */
-function estimateCopy({remainingTokens, madeTokens}: Straggler, {speed}: IdleEndpoint, canResume: boolean): number {
-	return canResume ? (madeTokens * recomputeMs) + (remainingTokens / speed) : (madeTokens + remainingTokens) / speed;
+function estimateCopyMs({remainingTokens, madeTokens}: Straggler, {speed}: IdleEndpoint, canResume: boolean): number {
+	return canResume ? (madeTokens * recomputeMsPerToken) + (remainingTokens / speed) : (madeTokens + remainingTokens) / speed;
 }
--- a/packages/decisions/src/subsetting.ts
+++ b/packages/decisions/src/subsetting.ts
@@ -29,24 +29,24 @@
 	const mean = entries.length * degree / Math.max(1, endpoints.length);
 	const slack = options.slack ?? defaultSlack;
 	const subsets = new Map(entries.map(entry => [entry, [] as string[]]));
-	const used = new Map(endpoints.map(endpoint => [endpoint, 0]));
+	const entryCounts = new Map(endpoints.map(endpoint => [endpoint, 0]));
 	const pairs = listPairs(entries, endpoints);
-	const left = takePairs(pairs, {degree, room: mean / slack}, subsets, used);
-	takePairs(left, {degree, room: slack * mean}, subsets, used);
+	const left = assignPairs(pairs, {degree, room: mean / slack}, subsets, entryCounts);
+	assignPairs(left, {degree, room: slack * mean}, subsets, entryCounts);
 	return subsets;
 }
 
 /** Takes the pairs in order while both sides have room; returns those not taken. */
-function takePairs(pairs: readonly Pair[], {degree, room}: {degree: number; room: number}, subsets: Map<string, string[]>, used: Map<string, number>): Pair[] {
+function assignPairs(pairs: readonly Pair[], {degree, room}: {degree: number; room: number}, subsets: Map<string, string[]>, entryCounts: Map<string, number>): Pair[] {
 	return pairs.filter(({entry, endpoint}) => {
 		const subset = subsets.get(entry)!;
-		const count = used.get(endpoint)!;
+		const count = entryCounts.get(endpoint)!;
 		if (subset.length >= degree || count >= roundByName(room, endpoint)) {
 			return true;
 		}
 
 		subset.push(endpoint);
-		used.set(endpoint, count + 1);
+		entryCounts.set(endpoint, count + 1);
 		return false;
 	});
 }
@@ -55,8 +55,8 @@
  * Rounds up or down by the name, in proportion. If all endpoints were rounded alike, one host more
  * could change the room of all of them, and move the pairs of a whole data centre.
  */
-function roundByName(room: number, name: string): number {
-	return Math.floor(room + (rankCandidate('room', name) / (2 ** 32)));
+function roundByName(capacity: number, name: string): number {
+	return Math.floor(capacity + (rankCandidate('room', name) / (2 ** 32)));
 }
 
 /** The endpoints of one entry. */
--- a/packages/decisions/src/trainer-shares.ts
+++ b/packages/decisions/src/trainer-shares.ts
@@ -8,7 +8,7 @@
  */
 
 /** What a trainer's current step still lacks. */
-export type TrainerNeed = {
+export type TrainerDemand = {
 	trainer: string;
 	/** Weight of its profile. */
 	share: number;
@@ -19,14 +19,14 @@
 	/** Slots that its unfinished samples can use. */
 	usableSlots: number;
 	/** Slots that work for its next step could use; 0 unless staleness allows it. */
-	nextSlots: number;
+	nextStepSlots: number;
 };
 
 /** A step whole within 3 minutes, in milliseconds: the size to design for. */
 export const stepDeadlineMs = 180_000;
 
 /** Least time left that a need is worked out from, in milliseconds, so that a late step does not take everything. */
-const minTimeLeftMs = 10_000;
+const minRemainingMs = 10_000;
 
 type Claim = {trainer: string; wanted: number; weight: number};
 
@@ -35,23 +35,23 @@
  *
  * @param slotSpeed - tokens a millisecond that one slot makes
  */
-export function divideSlots(needs: readonly TrainerNeed[], slots: number, slotSpeed: number, now: number): Map<string, number> {
-	const given = new Map(needs.map(({trainer}) => [trainer, 0]));
-	const needed = needs.map(need => ({
-		trainer: need.trainer, wanted: Math.min(need.usableSlots, countNeeded(need, slotSpeed, now)), weight: countNeeded(need, slotSpeed, now),
+export function divideSlots(demands: readonly TrainerDemand[], slots: number, slotSpeed: number, now: number): Map<string, number> {
+	const given = new Map(demands.map(({trainer}) => [trainer, 0]));
+	const deadlineClaims = demands.map(need => ({
+		trainer: need.trainer, wanted: Math.min(need.usableSlots, countSlotsForDeadline(need, slotSpeed, now)), weight: countSlotsForDeadline(need, slotSpeed, now),
 	}));
-	let left = fill(needed, slots, given);
-	left = fill(needs.map(({trainer, usableSlots, share}) => ({trainer, wanted: usableSlots - given.get(trainer)!, weight: share})), left, given);
-	fill(needs.map(({trainer, nextSlots, share}) => ({trainer, wanted: nextSlots, weight: share})), left, given);
+	let left = fillClaims(deadlineClaims, slots, given);
+	left = fillClaims(demands.map(({trainer, usableSlots, share}) => ({trainer, wanted: usableSlots - given.get(trainer)!, weight: share})), left, given);
+	fillClaims(demands.map(({trainer, nextStepSlots: nextSlots, share}) => ({trainer, wanted: nextSlots, weight: share})), left, given);
 	return given;
 }
 
-function countNeeded({remainingTokens, deadlineAt}: TrainerNeed, slotSpeed: number, now: number): number {
-	return remainingTokens / slotSpeed / Math.max(minTimeLeftMs, deadlineAt - now);
+function countSlotsForDeadline({remainingTokens, deadlineAt}: TrainerDemand, slotSpeed: number, now: number): number {
+	return remainingTokens / slotSpeed / Math.max(minRemainingMs, deadlineAt - now);
 }
 
 /** Divides slots by weight, none more than it wants (water-filling); returns what is left. */
-function fill(claims: readonly Claim[], slots: number, given: Map<string, number>): number {
+function fillClaims(claims: readonly Claim[], slots: number, given: Map<string, number>): number {
 	let left = slots;
 	let open = claims.filter(({wanted, weight}) => wanted > 0 && weight > 0);
 	while (open.length > 0 && left > 0) {
--- a/packages/decisions/src/weight-waves.ts
+++ b/packages/decisions/src/weight-waves.ts
@@ -38,13 +38,13 @@
 };
 
 /** Endpoints kept besides those that interactive callers need, as a part of them: a burst during the swap; as placement keeps. */
-const spareFraction = 0.25;
+const interactiveSpareFraction = 0.25;
 
 /** Most of the endpoints that swap at once even if interactive callers need none, so that trainers aren't all stopped together. */
-const maxOutFraction = 0.5;
+const maxSwappingFraction = 0.5;
 
 /** First wait after a failure, in milliseconds, doubled by each further one; a third failure leaves it within 17 s still. */
-const retryMs = 500;
+const initialRetryMs = 500;
 
 /** Failures after which an endpoint is left at its old version and reported, until the next version. */
 export const maxFailures = 5;
@@ -61,19 +61,19 @@
 export function failReplica(replica: Replica, now: number): Replica {
 	const failures = replica.failures + 1;
 	return {
-		...replica, state: 'old', failures, retryAt: now + (retryMs * (2 ** (failures - 1))),
+		...replica, state: 'old', failures, retryAt: now + (initialRetryMs * (2 ** (failures - 1))),
 	};
 }
 
-function isReady({failures, retryAt}: Replica, now: number): boolean {
+function isRetryDue({failures, retryAt}: Replica, now: number): boolean {
 	return failures < maxFailures && (retryAt ?? 0) <= now;
 }
 
 function planFetches(replicas: readonly Replica[], limits: WaveLimits, now: number): WavePlan['fetches'] {
 	const free = listSources(replicas, limits);
 	const waiting = replicas
-		.filter(replica => replica.state === 'old' && isReady(replica, now))
-		.toSorted((a, b) => a.failures - b.failures || compareSpread(a, b));
+		.filter(replica => replica.state === 'old' && isRetryDue(replica, now))
+		.toSorted((a, b) => a.failures - b.failures || compareByHash(a, b));
 	const fetches: WavePlan['fetches'] = [];
 	for (const {id, source: lastSource, failures} of waiting) {
 		const source = takeSource(free, failures > 0 ? lastSource : undefined);
@@ -127,17 +127,17 @@
 }
 
 function planSwaps(replicas: readonly Replica[], {interactiveEndpoints}: WaveLimits, now: number): string[] {
-	const needed = Math.ceil(interactiveEndpoints * (1 + spareFraction));
-	const mostOut = Math.max(1, Math.min(replicas.length - needed, Math.floor(maxOutFraction * replicas.length)));
-	const out = replicas.filter(({state}) => state === 'swapping').length;
+	const needed = Math.ceil(interactiveEndpoints * (1 + interactiveSpareFraction));
+	const maxSwapping = Math.max(1, Math.min(replicas.length - needed, Math.floor(maxSwappingFraction * replicas.length)));
+	const swapping = replicas.filter(({state}) => state === 'swapping').length;
 	return replicas
-		.filter(replica => replica.state === 'fetched' && isReady(replica, now))
-		.toSorted((a, b) => a.failures - b.failures || compareSpread(a, b))
-		.slice(0, Math.max(0, mostOut - out))
+		.filter(replica => replica.state === 'fetched' && isRetryDue(replica, now))
+		.toSorted((a, b) => a.failures - b.failures || compareByHash(a, b))
+		.slice(0, Math.max(0, maxSwapping - swapping))
 		.map(({id}) => id);
 }
 
 /** An order that spreads a wave over racks and data centres, which names usually follow. */
-function compareSpread(a: Replica, b: Replica): number {
+function compareByHash(a: Replica, b: Replica): number {
 	return hashToNumber(a.id) - hashToNumber(b.id) || a.id.localeCompare(b.id);
 }
