--- a/packages/decisions/src/admission.ts
+++ b/packages/decisions/src/admission.ts
@@ -1,31 +1,30 @@
 /**
- * Who is let into a waiting line, and who is refused at once.
+ * Admits requests to a wait queue or refuses them immediately.
  *
- * Load pattern: more arrives than can be served. Without this the line grows until each
- * request in it is answered after its caller has given up, so that all capacity is spent on answers
- * that nobody receives. Bounded in count, in work and in time: a request whose estimated wait
- * exceeds what is left of its deadline is refused now, with the time to come back.
+ * Load pattern: more requests arrive than can be served. Without admission control the queue grows until each request is answered after its caller has
+ * given up, so that all capacity is spent on answers that nobody receives. The queue is bounded in count, in work and in time: a request whose estimated
+ * wait exceeds the rest of its deadline is refused immediately, with the time after which to retry.
  *
- * A position is reserved and counted in one step and freed by `release`, whatever the exit.
+ * A position is reserved and counted in one step and released by `release`, however the request ends.
  */
 import {priorityClasses, type PriorityClass} from '@wasabiusher/shared';
 
-/** What is known of a request when it asks to be let in. */
+/** Properties of a request that applies for admission. */
 export type AdmissionRequest = {
 	id: string;
 	class: PriorityClass;
 	caller: string;
-	/** Weight of its profile. */
+	/** Weight of its profile in fair queueing. */
 	share: number;
 	/** Work, in tokens or calls. */
 	cost: number;
 	/** Milliseconds on the clock of `now`. */
 	deadlineAt: number;
-	/** How long it is expected to run once started, in milliseconds. */
+	/** Expected duration once started, in milliseconds. */
 	serviceMs: number;
 };
 
-/** Bounds of a waiting line. */
+/** Bounds of a wait queue. */
 export type AdmissionBounds = {
 	/** Requests waiting. */
 	count: number;
@@ -39,7 +38,7 @@
 
 export type RefusalReason = 'deadline-too-near' | 'queue-full' | 'work-full' | 'caller-full';
 
-/** Exactly one of these, at once. */
+/** The outcome, decided immediately. */
 export type AdmissionDecision
 	= | {kind: 'admitted'; waitMs: number}
 		| {kind: 'refused'; reason: RefusalReason; retryAfterMs: number};
@@ -48,17 +47,17 @@
 
 type QueuedTotals = {count: number; work: number; share: number};
 
-/** Soonest and latest time that a refused caller is told to come back after, in milliseconds. */
+/** Shortest and longest retry-after time that a refused caller gets, in milliseconds. */
 export const minRetryAfterMs = 100;
 export const maxRetryAfterMs = 30_000;
 
 /**
- * Part of the remaining deadline that the estimate may use up. The rest is for the error of the estimate:
- * the wait is that of a mean. In the experiment's burst onto 8 slots none that is let in expires, over seeds 1–10.
+ * Maximum fraction of the remaining deadline that the estimated wait and service time may use. The rest covers the estimation error, since the wait is
+ * estimated from a mean. In the experiment's burst onto 8 slots no admitted request expires, over seeds 1–10.
  */
 export const maxDeadlineFraction = 0.8;
 
-/** Reserves positions in one waiting line. */
+/** Reserves positions in one wait queue. */
 export class Admission {
 	readonly #bounds: AdmissionBounds;
 	readonly #reservations = new Map<string, Reservation>();
@@ -70,21 +69,21 @@
 		this.#bounds = bounds;
 	}
 
-	/** Requests that wait. */
+	/** Number of waiting requests. */
 	get waiting(): number {
 		return this.#waiting.count;
 	}
 
-	/** Work that waits. */
+	/** Waiting work, in tokens or calls. */
 	get work(): number {
 		return this.#waiting.work;
 	}
 
 	/**
-	 * Lets a request in and counts it, or refuses it.
+	 * Admits and counts a request, or refuses it.
 	 *
 	 * @param now - milliseconds
-	 * @param rate - work that is served in a millisecond, as `DrainRate` measures it
+	 * @param rate - work served per millisecond, as measured by `DrainRate`
 	 */
 	reserve(request: AdmissionRequest, now: number, rate: number): AdmissionDecision {
 		const waitMs = this.estimateWaitMs(request, rate);
@@ -98,7 +97,7 @@
 		return {kind: 'admitted', waitMs};
 	}
 
-	/** The request left the line to run. */
+	/** Marks a request as having left the queue to run. */
 	start(id: string): void {
 		const reservation = this.#reservations.get(id);
 		if (reservation && !reservation.hasStarted) {
@@ -107,15 +106,15 @@
 		}
 	}
 
-	/** Frees the position on any exit: finished, failed, cancelled or expired. */
+	/** Releases the position of a request that finished, failed, was cancelled or expired. */
 	release(id: string): void {
 		this.start(id);
 		this.#reservations.delete(id);
 	}
 
 	/**
-	 * Expected wait in milliseconds: behind all work of its class and of more urgent ones, or,
-	 * as turns are fair, behind its caller's own work at its share of the rate; whichever is less.
+	 * Returns the expected wait in milliseconds: the smaller of the wait behind all work of its class and of more urgent ones, and the wait behind its
+	 * caller's own work at the caller's share of the rate, as the queue is fair.
 	 */
 	estimateWaitMs({class: name, caller, share, cost}: AdmissionRequest, rate: number): number {
 		if (this.#waiting.count === 0) {
@@ -143,7 +142,7 @@
 		return checks.find(([, isMet]) => isMet)?.[0];
 	}
 
-	/** When enough will have been served for a request like this to be let in. */
+	/** Returns the time after which enough work will have been served to admit a request like this, in milliseconds. */
 	#estimateRetryAfter({serviceMs, deadlineAt, cost}: AdmissionRequest, waitMs: number, now: number, rate: number): number {
 		const affordableMs = Math.max(0, (maxDeadlineFraction * (deadlineAt - now)) - serviceMs);
 		const excessMs = Math.max(waitMs - affordableMs, cost / Math.max(rate, Number.EPSILON));
@@ -158,7 +157,7 @@
 		this.#waiting = {
 			count: this.#waiting.count + sign,
 			work: this.#waiting.work + (sign * cost),
-			// A caller weighs once, by the share that it first came with.
+			// A caller counts once, with the share of its first waiting request.
 			share: this.#waiting.share + (isNew ? share : 0) - (count === 0 ? callerTotals!.share : 0),
 		};
 		if (count === 0) {
@@ -169,7 +168,7 @@
 	}
 }
 
-/** With no wait it is let in whatever it is expected to take: the slot is idle, and the expectation may be wrong. */
+/** Without a wait a request is admitted whatever its expected duration: the slot is idle, and the estimate may be wrong. */
 function isDeadlineTooNear({deadlineAt, serviceMs}: AdmissionRequest, waitMs: number, now: number): boolean {
 	const remainingMs = deadlineAt - now;
 	return remainingMs <= 0 || (waitMs > 0 && waitMs + serviceMs > maxDeadlineFraction * remainingMs);
--- a/packages/decisions/src/batch-shares.ts
+++ b/packages/decisions/src/batch-shares.ts
@@ -1,107 +1,107 @@
 /**
- * Among how many hosts a batch is divided, and which hosts these are.
+ * Divides a batch into shares and chooses the hosts that work on them.
  *
- * Load pattern: 88 entry hosts, half of them of a quarter of a core, and two trainers with steps of 100 to 160 texts. One host for each trainer
- * made, scored and listed all of them; it was by chance one of the small ones, read up to 270 texts at once and each step took 7 to 12 s while
- * most of the endpoints' slots stood empty. A batch is divided into shares of whole groups, each the work of one host. The same
- * host works on the same share of a trainer's next batch, so that its connections to its endpoints stay in use.
+ * Load pattern: 88 entry hosts, half of them with a quarter of a core, and two trainers with steps of 100 to 160 generations. When one host per trainer
+ * generated, scored and listed all of them, it could be one of the small ones: it read up to 270 generations at the same time and each step took 7 to 12
+ * s while most of the endpoints' slots were empty. A batch is therefore divided into shares of whole groups, each worked on by one host. The same host
+ * works on the same share of a trainer's next batch, so that its connections to its endpoints stay in use.
  */
 
 import {rankCandidate} from '@wasabiusher/shared';
 
-/** Samples of one share: with texts of an event each 40 ms, some 800 events a second, a tenth of a core. */
+/** Samples per share: with one event per generation every 40 ms, about 800 events a second, which take a tenth of a core. */
 const samplesPerShare = 32;
 
 /**
- * Most shares of one batch. All append to one list in a part of the store that takes 300 transactions a second; sixteen workers that commit five
- * times a second each leave three quarters of that to other batches.
+ * Maximum number of shares of one batch. All shares append to one result list in a partition of the store that handles 300 transactions a second;
+ * sixteen workers that commit five times a second each leave three quarters of that to other batches.
  */
 const maxShares = 16;
 
-/** Hosts for each share that there may be: what is left carries callers, and steps in the place of what fails. */
+/** Minimum number of hosts per share: the remaining hosts serve callers and replace failed workers. */
 const hostsPerShare = 4;
 
 /**
- * Endpoints for each share that there must be. Three tenths of them load new weights at a time; with one or two of its own a share would stand still
- * for that time: trainers with two endpoints each were 1.8 s further behind with their steps divided (four paired plays, -0.026 of worth).
+ * Minimum number of endpoints per share. Three tenths of the endpoints load new weights at the same time, and a share with only one or two endpoints
+ * would stop for that time: trainers with two endpoints each were 1.8 s further behind when their steps were divided (four paired runs, score -0.026).
  */
 const endpointsPerShare = 3;
 
-/** Samples that a host may be given for each core that it has, open batches together; a core reads some 250 texts at once at its limit. */
+/** Maximum number of samples of all open batches per core of a host; a core can read about 250 generations at the same time. */
 const samplesPerCore = 100;
 
-/** Longest silence of a host that works, in milliseconds: two heartbeats. */
+/** Maximum time without a heartbeat from a working host, in milliseconds: two heartbeats. */
 const maxHeartbeatAgeMs = 900;
 
-/** Lateness from which a host has more to do than it can, and from which it is given nothing new, in milliseconds: an event comes every 40. */
+/** Event-loop lag above which a host counts as overloaded, and above which it gets no new share, in milliseconds; an event arrives every 40 ms. */
 const maxEventLoopLagMs = 40;
 const maxNewShareEventLoopLagMs = 10;
 
-/** What is known of a host that could work on a share. */
+/** A host that could work on a share. */
 export type WorkerCandidate = {
-	/** Names this start of its process. */
+	/** Identifies this start of its process. */
 	id: string;
 	dataCentre: string;
-	/** Cores that its process may use; 0 if it has not told. */
+	/** Cores available to its process; 0 if it has not reported them. */
 	cores: number;
-	/** Whether it has said that it has no work; then its silence means nothing. */
+	/** Whether it has reported that it has no work; missing heartbeats then have no meaning. */
 	isResting: boolean;
-	/** Time since it was last heard, in milliseconds. */
+	/** Time since its last heartbeat, in milliseconds. */
 	silentMs: number;
-	/** How late its own timers are, in milliseconds. */
+	/** Event-loop lag of the host, in milliseconds. */
 	lateMs: number;
-	/** Samples of open batches in its shares. */
+	/** Samples of open batches in the shares of this host. */
 	samples: number;
-	/** Whether it is this host, which lives for sure and can begin at once. */
+	/** Whether it is the host that decides, which is certainly alive and can begin immediately. */
 	isHere: boolean;
 };
 
-/** What is to be divided. */
+/** A batch to be divided. */
 export type ShareRequest = {
 	samples: number;
 	groups: number;
-	/** Hosts that there are. */
+	/** Number of available hosts. */
 	hosts: number;
-	/** Endpoints that the batch's model can expect. */
+	/** Number of endpoints that the batch's model can expect. */
 	endpoints: number;
 };
 
-/** What workers are chosen by. */
+/** Criteria for the choice of workers. */
 export type WorkerRequest = {
-	/** Shares of the batch. */
+	/** Number of shares of the batch. */
 	count: number;
-	/** Samples of each. */
+	/** Samples per share. */
 	samples: number;
-	/** Who worked on each share of the trainer's last batch, by the share. */
+	/** Ids of the workers of the trainer's last batch, by share. */
 	last: ReadonlyArray<string | undefined>;
-	/** Where the endpoints are: how many are in each data centre. */
+	/** Number of endpoints by data centre. */
 	endpoints: ReadonlyMap<string, number>;
-	/** Orders hosts that are alike; differs by trainer, so that trainers choose different ones. Higher goes first. */
+	/** Rank of a host among otherwise equal ones, highest first; it differs by trainer, so that trainers choose different hosts. */
 	rank(id: string): number;
 };
 
-/** Number of shares into which a batch is divided. */
+/** Returns the number of shares into which a batch is divided. */
 export function countShares({samples, groups, hosts, endpoints}: ShareRequest): number {
 	const max = Math.min(maxShares, Math.floor(hosts / hostsPerShare), Math.floor(endpoints / endpointsPerShare), groups);
 	return Math.max(1, Math.min(Math.ceil(samples / samplesPerShare), max));
 }
 
-/** Whether a host goes on with the work that it has. */
+/** Returns whether a host is responsive enough to keep its share. */
 function canKeepShare({isResting, silentMs, lateMs}: WorkerCandidate): boolean {
 	return (isResting || silentMs <= maxHeartbeatAgeMs) && lateMs <= maxEventLoopLagMs;
 }
 
-/** Samples that a host can still be given; one that has not told its size counts as one core. */
+/** Returns the number of samples that a host can still take; a host that has not reported its cores counts as having one. */
 function countFreeSamples({cores, samples}: WorkerCandidate): number {
 	return ((cores || 1) * samplesPerCore) - samples;
 }
 
 /**
- * Who works on each share. Hosts of the trainer's last batch keep their shares while they are sound and have room; for the others this host goes
- * first if it has room, then the host with the most room in the data centre with the most endpoints for each worker: what a worker
- * reads comes from there.
+ * Chooses the worker of each share. Hosts of the trainer's last batch keep their shares while they are responsive and have free capacity. The other
+ * shares go to this host first if it has free capacity, then to the host with the most free capacity in the data centre with the most endpoints per
+ * worker, since a worker's input comes from there.
  *
- * @returns ids by the share; shorter than asked if there are not enough hosts
+ * @returns ids by share; fewer than requested if there are not enough hosts
  */
 export function chooseWorkers(candidates: readonly WorkerCandidate[], {count, samples, last, endpoints, rank}: WorkerRequest): string[] {
 	const byId = new Map(candidates.map(candidate => [candidate.id, candidate]));
@@ -128,7 +128,7 @@
 		|| rank(b.id) - rank(a.id))[0];
 }
 
-/** The data centre with the most endpoints for each worker in it. */
+/** Returns the data centre with the most endpoints per worker. */
 function findPreferredDataCentre(endpoints: ReadonlyMap<string, number>, chosen: ReadonlyArray<WorkerCandidate | undefined>): string | undefined {
 	const endpointsPerWorker = [...endpoints].map(([dataCentre, count]) => {
 		const workers = chosen.filter(worker => worker?.dataCentre === dataCentre).length;
@@ -137,18 +137,18 @@
 	return endpointsPerWorker.toSorted((a, b) => b.weight - a.weight)[0]?.dataCentre;
 }
 
-/** A group of samples that is not divided. */
+/** A group of samples, which is never split. */
 export type SharedGroup = {
 	id: string;
-	/** Expected length of its longest text, in tokens. */
+	/** Expected length of its longest generation, in tokens. */
 	longest: number;
 };
 
 /**
- * Divides groups among shares: the longest go round first, so that each share has as many long ones as the others. Everyone who has the
- * same submission divides it in the same way.
+ * Divides groups among shares, longest first in rounds, so that each share gets the same number of long groups. The result is the same on every host
+ * that has the submission.
  *
- * @returns ids of the groups by the share
+ * @returns ids of the groups by share
  */
 export function divideGroups(groups: readonly SharedGroup[], count: number): string[][] {
 	const shares = Array.from({length: count}, (): string[] => []);
@@ -156,31 +156,31 @@
 	for (const [i, {id}] of ordered.entries()) {
 		const round = Math.floor(i / count);
 		const indexInRound = i % count;
-		// Each round goes the other way, so that nobody has the longer one each time.
+		// Alternate the direction of the rounds, so that no share always gets the longer group.
 		shares[round % 2 === 0 ? indexInRound : count - 1 - indexInRound]!.push(id);
 	}
 
 	return shares;
 }
 
-/** An endpoint that may be given to a share. */
+/** An endpoint that can be assigned to a share. */
 export type SharedEndpoint = {
 	id: string;
 	dataCentre: string;
-	/** Whether it is much faster than others; such ones are divided evenly by themselves. */
+	/** Whether it is much faster than others; fast endpoints are divided evenly among themselves. */
 	isFast?: boolean;
 };
 
 /**
- * Divides endpoints among the shares of a batch, as evenly as their number lets, each to a worker in its own data centre as far as there is one.
- * Among workers alike a hash decides for each endpoint, so that one more or less changes little for the others.
+ * Divides endpoints among the shares of a batch as evenly as possible, preferring workers in the same data centre. Among equal workers a hash decides
+ * for each endpoint, so that adding or removing one endpoint changes little for the others.
  *
- * Load pattern: five hosts fill the same 80 slots, each knowing of the others only what answers told up to a second before; an endpoint
- * refuses what is beyond its queue. With endpoints of its own, a worker knows what is open there. Each share has as many long texts as the others, so
- * each gets its part of the fast endpoints.
+ * Load pattern: five hosts fill the same 80 slots, and each knows about the others only what answers reported up to a second earlier; an endpoint
+ * refuses requests beyond its queue. With dedicated endpoints a worker knows which slots are free. Each share has the same number of long generations,
+ * so each gets its part of the fast endpoints.
  *
  * @param workerDataCentres - data centre of the worker of each share
- * @returns ids by the share; with fewer endpoints than shares some have none
+ * @returns ids by share; with fewer endpoints than shares some shares have none
  */
 export function divideEndpoints(endpoints: readonly SharedEndpoint[], workerDataCentres: readonly string[]): string[][] {
 	const shares = workerDataCentres.map((dataCentre, share) => ({dataCentre, name: String(share), ids: [] as string[]}));
--- a/packages/decisions/src/burn-rate.ts
+++ b/packages/decisions/src/burn-rate.ts
@@ -1,33 +1,28 @@
 /**
- * How fast the error budget of an objective burns.
+ * Computes how fast the error budget of an objective burns.
  *
- * Load pattern: a fault that spends a month's budget in an hour, and one that leaks it over
- * days. With one window and one threshold, either the first is told late or the second
- * rings for every short blip.
+ * Load pattern: one fault spends a month's budget in an hour, another leaks it over days. With one window and one threshold, either the first is
+ * reported late or the second alerts on every short disturbance.
  *
- * Multi-window, multi-burn-rate alerts (Beyer et al., The Site Reliability Workbook, 2018,
- * chapter 5): a long window shows that enough budget was spent to matter, a short one that
- * it still burns. Their third alert looks back three days; a process here lives for less
- * and keeps nothing, so that one is left to the operators' own metrics store.
+ * Uses multi-window, multi-burn-rate alerts (Beyer et al., The Site Reliability Workbook, 2018, chapter 5): a long window shows that a relevant part of
+ * the budget was spent, a short one that it is still burning. The workbook's third alert covers three days; a process here has a shorter lifetime and
+ * stores nothing, so that alert is left to the operators' own metrics store.
  */
 
-/** Windows over which events are counted: their length in milliseconds. */
+/** Windows over which events are counted, with their length in milliseconds. */
 export const burnWindows = {
 	fiveMinutes: 300_000, halfHour: 1_800_000, oneHour: 3_600_000, sixHours: 21_600_000,
 } as const;
 
 export type BurnWindow = keyof typeof burnWindows;
 
-/** From the shortest to the longest. */
+/** Window names, from the shortest to the longest. */
 export const burnWindowNames: readonly BurnWindow[] = ['fiveMinutes', 'halfHour', 'oneHour', 'sixHours'];
 
-/** The window over which the budget left is told. */
+/** Window for which the remaining budget is reported. */
 export const budgetWindow: BurnWindow = 'sixHours';
 
-/**
- * Alerts from the most to the least urgent, with the workbook's rates: 14.4 spends 2% of
- * a 30-day budget in an hour, 6 spends 5% in six hours.
- */
+/** Alerts from the most to the least urgent, with the workbook's rates: 14.4 spends 2% of a 30-day budget in an hour, 6 spends 5% in six hours. */
 export const burnAlerts = [
 	{
 		name: 'fast', long: 'oneHour', short: 'fiveMinutes', rate: 14.4,
@@ -42,14 +37,14 @@
 /** Width of a bucket, in milliseconds; a fifth of the shortest window. */
 const bucketMs = 60_000;
 
-/** Bad events without which no alert fires: one alone is no trend, however few requests there are. */
+/** Minimum number of bad events for an alert: one event is no trend, however few requests there are. */
 const minBadEvents = 2;
 
-/** Events of a window. */
+/** Events counted in a window. */
 export type WindowCounts = {
 	good: number;
 	total: number;
-	/** How much of the window was observed, in milliseconds: less than the window after a start. */
+	/** Observed part of the window, in milliseconds; less than the window after a start. */
 	coveredMs: number;
 };
 
@@ -57,14 +52,14 @@
 
 type Bucket = {index: number; good: number; total: number};
 
-/** Builds a value for each window. */
+/** Creates a value for each window. */
 export function mapBurnWindows<Value>(create: (window: BurnWindow) => Value): Record<BurnWindow, Value> {
 	return {
 		fiveMinutes: create('fiveMinutes'), halfHour: create('halfHour'), oneHour: create('oneHour'), sixHours: create('sixHours'),
 	};
 }
 
-/** Counts the events of one objective in one process, in memory bounded by the longest window. */
+/** Counts the events of one objective in one process, with memory bounded by the longest window. */
 export class ObjectiveCounts {
 	readonly #startedAt: number;
 	#buckets: Bucket[] = [];
@@ -74,7 +69,7 @@
 		this.#startedAt = now;
 	}
 
-	/** @param weight - events at once, such as milliseconds of a trainer's time */
+	/** @param weight - number of events to record, such as milliseconds of a trainer's time */
 	record(isGood: boolean, now: number, weight = 1): void {
 		const bucket = this.#findBucket(now);
 		bucket.total += weight;
@@ -109,7 +104,7 @@
 	}
 }
 
-/** Adds up what several processes have counted; the shortest time observed is that of the sum. */
+/** Adds up the counts of several processes; the shortest observed time applies to the sum. */
 export function addWindowCounts(counts: readonly WindowCounts[]): WindowCounts {
 	return {
 		good: counts.reduce((sum, {good}) => sum + good, 0),
@@ -119,14 +114,14 @@
 }
 
 export type BurnJudgement = {
-	/** Multiples of the rate that spends exactly the budget; undefined without events. */
+	/** Burn rate: multiple of the rate that spends exactly the budget; undefined without events. */
 	rates: Readonly<Record<BurnWindow, number | undefined>>;
-	/** Fraction of the budget of `budgetWindow` that is left; below 0 when overspent, undefined without events. */
+	/** Remaining fraction of the budget of `budgetWindow`; negative when overspent, undefined without events. */
 	budgetLeft: number | undefined;
 	alerts: BurnAlert[];
 	/** Windows without any event. */
 	empty: BurnWindow[];
-	/** Windows that were not observed whole by every process. */
+	/** Windows that some process did not observe completely. */
 	partial: BurnWindow[];
 };
 
@@ -135,7 +130,7 @@
 }
 
 /**
- * Judges an objective.
+ * Computes the burn rates, the remaining budget and the alerts of an objective.
  *
  * @param target - fraction of events that must be good, in (0, 1)
  */
--- a/packages/decisions/src/caller-queue.ts
+++ b/packages/decisions/src/caller-queue.ts
@@ -1,24 +1,22 @@
 /**
- * The waiting line of one class: callers take turns by the work that they have had.
+ * Queue of one class with fair queueing among its callers.
  *
- * Load pattern: one caller sends twenty times its share. Without this its requests fill
- * the line and each other caller waits behind all of them. Start-time fair queueing
- * (Goyal, Vin and Cheng, 1996) with the work charged when a job is taken, so that
- * a job that is taken out unserved costs its caller nothing. A caller is never in debt
- * by more than one job: what it used of the others' idle share is not held against it.
+ * Load pattern: one caller sends twenty times its share. Without fair queueing its requests fill the queue and every other caller waits behind all of
+ * them. Implements start-time fair queueing (Goyal, Vin and Cheng, 1996), charging the work when a job is served, so that a job that is removed unserved
+ * costs its caller nothing. A caller is charged in advance for at most one job: capacity that it used while others were idle is not counted against it.
  */
 import type {PriorityClass} from '@wasabiusher/shared';
 import {IndexedHeap, type HeapItem} from './indexed-heap.js';
 import {TurnClock} from './flow-clock.js';
 
-/** What the order is decided by. */
+/** Determines the position of a job. */
 export type Ticket = {
-	/** Names the entry, to take it out again. */
+	/** Identifies the job for removal. */
 	id: string;
 	class: PriorityClass;
-	/** Whose turn it uses up. */
+	/** Caller that is charged for the job. */
 	caller: string;
-	/** 0 is the least urgent, 9 the most. */
+	/** From 0, the least urgent, to 9, the most urgent. */
 	priority: number;
 	/** Weight of the caller's profile. */
 	share: number;
@@ -26,7 +24,7 @@
 	cost: number;
 };
 
-/** A waiting job and its place in its caller's line. */
+/** A waiting job, linked to its neighbours in its caller's flow. */
 export type QueuedJob<Job> = {
 	ticket: Ticket;
 	job: Job;
@@ -35,30 +33,30 @@
 	next?: QueuedJob<Job>;
 };
 
-/** The jobs of one caller at one priority, first come first served. */
+/** The jobs of one caller at one priority, first in, first out. */
 type Flow<Job> = HeapItem & {
 	key: string;
-	/** Virtual time at which its next job may start; the least goes first. */
+	/** Virtual start time of its next job; the lowest is served first. */
 	start: number;
-	/** Breaks ties in order of arrival. */
+	/** Order of arrival, which breaks ties. */
 	order: number;
 	head?: QueuedJob<Job>;
 	tail?: QueuedJob<Job>;
 };
 
 /**
- * Each step of priority doubles a caller's weight in its class: 9 goes 16 times as often
- * as 5, yet 0 still gets a turn. A strict order would starve the low priorities.
+ * Factor of a caller's weight in its class for each priority level: 9 is served 16 times as often as 5, but 0 is still served. A strict order would
+ * starve low priorities.
  */
 const weightPerPriority = 2;
 
-/** The priority at which the weight is the profile's share. */
+/** Priority at which the weight is the profile's share. */
 const neutralPriority = 5;
 
-/** Least work charged for a job, so that jobs stated to cost nothing still take turns. */
+/** Minimum work charged for a job, so that jobs with a stated cost of zero are queued fairly too. */
 const minCost = 1e-3;
 
-/** Jobs of one class in fair order. */
+/** Queues the jobs of one class in fair order. */
 export class CallerQueue<Job> {
 	readonly #flows = new Map<string, Flow<Job>>();
 	readonly #clock = new TurnClock();
@@ -69,7 +67,7 @@
 		return this.#heap.size === 0;
 	}
 
-	/** The job whose turn it is, left in its place. */
+	/** The next job, which stays in the queue. */
 	get first(): QueuedJob<Job> | undefined {
 		return this.#heap.first?.head;
 	}
@@ -87,7 +85,7 @@
 		flow.tail = entry;
 	}
 
-	/** Takes the job whose turn it is and charges its caller. */
+	/** Removes and returns the next job, and charges its caller. */
 	pop(): QueuedJob<Job> | undefined {
 		const entry = this.first;
 		if (entry) {
@@ -100,7 +98,7 @@
 		return entry;
 	}
 
-	/** Takes out a job whose turn has not come; its caller is not charged. */
+	/** Removes a job before it is served; its caller is not charged. */
 	remove(entry: QueuedJob<Job>): void {
 		this.#unlink(entry);
 	}
--- a/packages/decisions/src/concurrency-limit.ts
+++ b/packages/decisions/src/concurrency-limit.ts
@@ -1,53 +1,52 @@
 /**
- * How many requests an endpoint may hold at once.
+ * Limits the number of concurrent requests of an endpoint.
  *
- * Load pattern: an endpoint's real capacity differs from its setting and changes with the lengths of
- * what it runs. Without this, too much is sent, each request slows all others, and urgent ones wait
- * behind what was already sent. The limit follows the measured latency: it grows by a little while
- * the limit is used and latency stays near its floor, and shrinks by a factor when it does not
- * (additive increase, multiplicative decrease: Chiu and Jain, 1989).
+ * Load pattern: an endpoint's real capacity differs from its configured one and changes with the lengths of its requests. Without an adaptive limit too
+ * many requests are sent, each slows all others, and urgent ones wait behind those already sent. The limit follows the measured latency: it grows by one
+ * while it is used and latency stays near its floor, and shrinks by a factor otherwise (additive increase, multiplicative decrease: Chiu and Jain,
+ * 1989).
  */
 import type {PriorityClass} from '@wasabiusher/shared';
 import {Headroom} from './headroom.js';
 
-/** Bounds and start of a limit, in requests. */
+/** Bounds and initial value of a limit, in requests. */
 export type LimitBounds = {min: number; max: number; initial: number};
 
 /**
- * Latency over its floor at which the limit shrinks. Continuous batching slows each request by up to about
- * twice at a full batch, which is wanted; beyond it requests wait inside the endpoint.
+ * Ratio of latency to its floor above which the limit shrinks. Continuous batching slows each request by up to about two times at a full batch, which is
+ * accepted; beyond it requests wait inside the endpoint.
  */
 const latencyTolerance = 2;
 
-/** Factor of each decrease, customary for latency-driven limits (0.9 rather than TCP's 0.5, as nothing is lost yet). */
+/** Factor of each decrease, customary for latency-based limits (0.9 instead of TCP's 0.5, as nothing has been lost yet). */
 const decreaseFactor = 0.9;
 
-/** Decreases that may follow one another, at most one in each of these times the latency floor. */
+/** Minimum time between two decreases, as a multiple of the latency floor. */
 const minDecreaseSpacingFloors = 1;
 
 /**
- * Time after which the floor is measured anew, in milliseconds. A floor that only drifts follows the latency that
- * the limit itself makes, and the limit then grows without bound; so it is measured at half the limit, as
- * BBR does for its round trip (Cardwell et al., 2016). At requests of a second this costs 1–2% of capacity.
+ * Time after which the floor is measured again, in milliseconds. A floor that only drifts follows the latency that the limit itself causes, and the
+ * limit then grows without bound; so it is measured at half the limit, as BBR does for its round-trip time (Cardwell et al., 2016). With requests of one
+ * second this costs 1–2% of capacity.
  */
 const floorValidityMs = 30_000;
 
 /**
- * Latency over the floor up to which the floor is not in doubt, so that it need not be measured. Measured every 30 s
- * regardless, it cost an overloaded pool a quarter of its work for a second, and held up short calls behind long ones.
+ * Ratio of latency to the floor up to which the floor is trusted and not measured again. Unconditional measurements every 30 s cost an overloaded pool a
+ * quarter of its throughput for one second, and delayed short calls behind long ones.
  */
 const trustedFloorRatio = 1.5;
 
-/** Part of the limit that is used while the floor is measured. */
+/** Fraction of the limit that is used while the floor is measured. */
 const floorProbeFraction = 0.5;
 
 /**
- * Measurements of which the mean is taken, at the least; a limit's worth if that is more. Judged one by one, calls of
- * 100–300 ms shrank the limit of a healthy endpoint to a third, as the shortest ever seen was the floor.
+ * Minimum number of measurements per mean; the limit if that is larger. When they were evaluated one by one, calls of 100–300 ms shrank the limit of a
+ * healthy endpoint to a third, as the shortest call ever measured was the floor.
  */
 const minWindowSize = 16;
 
-/** Fraction of the limit that must be in use before it grows; an unused limit proves nothing. */
+/** Fraction of the limit that must be in use before it grows; an unused limit has not been tested. */
 const minGrowthUtilization = 0.8;
 
 /** The limit of one endpoint. */
@@ -58,7 +57,7 @@
 	#floorMs = Number.POSITIVE_INFINITY;
 	#lastDecreaseAt = Number.NEGATIVE_INFINITY;
 	#floorValidUntil: number | undefined;
-	/** While the floor is measured anew. */
+	/** Whether the floor is being measured again. */
 	#isProbing = false;
 	#windowSum = 0;
 	#windowCount = 0;
@@ -69,28 +68,28 @@
 		this.#limit = bounds.initial;
 	}
 
-	/** Requests, a whole number. */
+	/** Current limit in requests, an integer. */
 	get limit(): number {
 		const effectiveLimit = this.#isProbing ? this.#limit * floorProbeFraction : this.#limit;
 		return Math.max(this.#bounds.min, Math.floor(effectiveLimit));
 	}
 
-	/** Requests that may be in flight when one of this class starts, as `Headroom` leaves them; always at least one. */
+	/** Returns the number of requests that may be in flight when one of this class starts, after the reserve of `Headroom`; at least one. */
 	limitFor(name: PriorityClass, now: number): number {
 		return this.#headroom.limitFor(name, this.limit, now);
 	}
 
-	/** Notes how many interactive requests are in flight there from `now` on. */
+	/** Records the number of interactive requests in flight at the endpoint from `now` on. */
 	observeInteractive(inFlight: number, now: number): void {
 		this.#headroom.observe(inFlight, now);
 	}
 
 	/**
-	 * Learns from a finished request.
+	 * Records a finished request.
 	 *
-	 * @param latencyMs - time at the endpoint, divided by the work that it turned out to be, if that is known
-	 * @param inFlight - requests there when it started
-	 * @param hasFailed - refused or timed out for want of capacity
+	 * @param latencyMs - time at the endpoint, divided by the actual amount of work if that is known
+	 * @param inFlight - requests at the endpoint when it started
+	 * @param hasFailed - refused or timed out for lack of capacity
 	 */
 	record(latencyMs: number, inFlight: number, hasFailed: boolean, now: number): void {
 		if (hasFailed) {
@@ -98,7 +97,7 @@
 			return;
 		}
 
-		// What started under the full limit says nothing of the floor.
+		// A request that started under the full limit says nothing about the floor.
 		if (this.#isProbing && inFlight > this.limit) {
 			return;
 		}
@@ -111,7 +110,7 @@
 		}
 	}
 
-	/** Takes the endpoint's word that it holds more than it can run; it lags, but needs no floor. */
+	/** Records the number of requests that the endpoint reports as waiting; the report lags, but needs no floor. */
 	recordWaiting(waiting: number, now: number): void {
 		if (waiting > 0) {
 			this.#decrease(now);
@@ -135,7 +134,7 @@
 		}
 	}
 
-	/** Keeps the floor; true if this window measured it and is to have no other effect. */
+	/** Updates the floor; returns true if this window measured it and must have no other effect. */
 	#updateFloor(meanMs: number, now: number): boolean {
 		if (this.#isProbing) {
 			this.#isProbing = false;
--- a/packages/decisions/src/direct-choice.ts
+++ b/packages/decisions/src/direct-choice.ts
@@ -1,122 +1,121 @@
 /**
- * Which endpoint gets the next attempt where entries call endpoints without an agent between.
+ * Chooses the endpoint for the next attempt where entries call endpoints directly, without an agent.
  *
- * Load pattern: one of six endpoints runs three times slower for some seconds, while several entries send to all of
- * them. By the number of open requests alone the slow one draws as many as the others and every batch waits for it.
- * Each endpoint is weighed by the time until it would be done: what is open there, over its slots, times its pace against
- * the typical one.
+ * Load pattern: one of six endpoints runs three times slower for some seconds, while several entries send to all of them. Judged by open requests alone,
+ * the slow one gets as many as the others and every batch waits for it. Each endpoint is weighed by its expected completion time: its open requests over
+ * its slots, times its pace relative to the median pace.
  */
 import {findMiddle} from '@wasabiusher/shared';
 
-/** What is known of an endpoint that could take an attempt. */
+/** An endpoint that could take an attempt. */
 export type DirectCandidate = {
 	id: string;
 	slots: number;
-	/** Requests of this process that are open there. */
+	/** Open requests of this process at the endpoint. */
 	open: number;
-	/** Requests of other processes there, as last told; it lags. */
+	/** Open requests of other processes at the endpoint, as last reported; it lags. */
 	others: number;
-	/** Time for a unit of work of late, in milliseconds; undefined until measured. */
+	/** Recent time per unit of work, in milliseconds; undefined until measured. */
 	paceMs: number | undefined;
-	/** Factor by which it is slower at this moment, where its pace is not known; 1 as usual. */
+	/** Current slowdown factor of its machine, used where its pace is unknown; normally 1. */
 	moment?: number;
-	/** Whether it holds a part of the prompt, from a request before. */
+	/** Whether it caches part of the prompt from an earlier request. */
 	isWarm: boolean;
-	/** Whether nobody else fills it with work of this kind. */
+	/** Whether it is dedicated to this process for this kind of work. */
 	isHome: boolean;
-	/** Whether this process has probably an idle connection to it. */
+	/** Whether this process probably has an idle connection to it. */
 	isConnected: boolean;
 };
 
-/** Part of a request's time that a shared prompt saves, which need not be read again. Prompts are short against texts. */
+/** Fraction of a request's time saved by a cached prompt, which need not be processed again. Prompts are short compared with generated texts. */
 const cachedPrefixAllowance = 0.03;
 
 /**
- * Part of a request's time that an open connection saves. It decides between equals: with calls spread over all endpoints by
- * chance, connections go idle between two calls and each call opens a new one.
+ * Fraction of a request's time saved by an open connection. It breaks ties between equal endpoints: with calls spread randomly over all endpoints,
+ * connections go idle between two calls and each call opens a new one.
  */
 const connectedAllowance = 0.02;
 
 /**
- * Part of a request's time by which an endpoint that is this process's own is preferred: more than it takes longer when all its slots are
- * taken, so that others are asked only when it has none, and less than a slow endpoint takes longer.
+ * Fraction of a request's time by which a dedicated endpoint is preferred: more than the slowdown of an endpoint with all slots taken, so that others
+ * are used only when no dedicated one is free, and less than the slowdown of a slow endpoint.
  */
 const dedicatedAllowance = 0.2;
 
-/** Least factor by which a fast endpoint is preferred; measured paces of healthy endpoints differ by less. */
+/** Minimum pace factor credited to a fast endpoint; measured paces of healthy endpoints differ by less. */
 const minPaceFactor = 0.6;
 
 /**
- * How much longer a request takes on an endpoint whose slots are all taken, as a part of its time on an idle one. An engine that
- * batches loses a twentieth; a little more spreads the load over equals.
+ * Slowdown of a request on an endpoint whose slots are all taken, as a fraction of its time on an idle one. An engine that batches loses a twentieth; a
+ * slightly larger value spreads the load over equal endpoints.
  */
 const crowdingFactor = 0.15;
 
-/** By how much endpoints are preferred. */
+/** Weights of the preferences among endpoints. */
 export type ChoiceWeights = {
-	/** Least factor by which a fast endpoint is preferred. */
+	/** Minimum pace factor credited to a fast endpoint. */
 	minPaceFactor: number;
-	/** Part of a request's time by which an endpoint that is this process's own is preferred. */
+	/** Fraction of a request's time by which a dedicated endpoint is preferred. */
 	dedicatedAllowance: number;
 };
 
 const defaultWeights: ChoiceWeights = {minPaceFactor, dedicatedAllowance};
 
-/** Least factor where lasting speeds are known, which may differ by any factor. */
+/** Minimum pace factor where persistent speeds are known; they can differ by any factor. */
 const plannedMinPaceFactor = 0.1;
 
-/** Preference of an own endpoint over a faster one by texts that are done in time at any. */
+/** Preference for a dedicated endpoint over a faster one, for texts that finish in time on any endpoint. */
 const shortGenerationDedicatedAllowance = 0.6;
 
-/** Part of the time in which a text should be whole; one that takes longer at a usual endpoint may decide when its step is whole. */
+/** Fraction of the time until a text is due; a text that takes longer at a typical endpoint may determine when its step is complete. */
 const decidingFraction = 0.5;
 
 /**
- * How a text weighs endpoints: one that may decide when its step is whole goes to the fastest, also to one that others fill; a short one stays at
- * the own endpoints of its host.
+ * Returns the weights for a text: one that may determine when its step is complete goes to the fastest endpoints, even to those filled by other
+ * processes; a short one stays on the dedicated endpoints of its host.
  *
- * @param units - events that it is expected to need
- * @param dueInMs - time until it should be whole, in milliseconds; undefined if nobody told
+ * @param units - expected number of events
+ * @param dueInMs - time until the text is due, in milliseconds; undefined if unknown
  */
 export function findGenerationWeights(units: number, dueInMs: number | undefined, medianPaceMs: number | undefined): ChoiceWeights {
 	const isDeciding = dueInMs === undefined || medianPaceMs === undefined || units * medianPaceMs > decidingFraction * dueInMs;
 	return {minPaceFactor: plannedMinPaceFactor, dedicatedAllowance: isDeciding ? dedicatedAllowance : shortGenerationDedicatedAllowance};
 }
 
-/** Expected time until a new attempt is done there, in typical requests; the least is the best. */
+/** Returns the expected time until a new attempt is done at the endpoint, in units of a typical request; lower is better. */
 export function estimateCost(candidate: DirectCandidate, medianPaceMs: number | undefined, weights = defaultWeights): number {
 	const {slots, open, others: openElsewhere, paceMs, moment: transientFactor = 1, isWarm: hasCachedPrefix, isHome: isDedicated, isConnected} = candidate;
 	const occupied = (open + openElsewhere) / Math.max(1, slots);
 	const factor = paceMs === undefined || !medianPaceMs ? transientFactor : Math.max(weights.minPaceFactor, paceMs / medianPaceMs);
 	const crowding = crowdingFactor * Math.min(1, occupied);
-	// What is beyond the slots waits for as long as a request takes.
+	// Requests beyond the slots wait for the duration of a request.
 	const waiting = Math.max(0, occupied - 1);
 	const saved = (hasCachedPrefix ? cachedPrefixAllowance : 0) + (isDedicated ? weights.dedicatedAllowance : 0) + (isConnected ? connectedAllowance : 0);
 	return (1 + crowding + waiting) * factor * (1 - saved);
 }
 
 /**
- * Pace over the typical one from which runs leave an endpoint in their middle: more than endpoints of one service differ by
- * when sound (some are a third slower), less than the factor of three or more of a faulty one.
+ * Factor over another endpoint's pace above which runs move away in progress: more than the difference between healthy endpoints of one service (some
+ * are a third slower), less than the factor of three or more of a faulty one.
  */
 const moveFactor = 1.8;
 
 /**
- * The same for a run that is long already. Lengths are heavy-tailed, so that it will mostly go on for as long again, and the
- * longest texts decide when a step is whole.
+ * The same for a run that is already long. Lengths are heavy-tailed, so that it will probably continue for as long again, and the longest texts
+ * determine when a step is complete.
  */
 const longRunMoveFactor = 1.2;
 
-/** Events of a run from which it counts as long, and between two moves of one; the mean of all is about as many. */
+/** Number of events from which a run counts as long, and between two moves of a run; about the mean length of all runs. */
 export const longRunEvents = 30;
 
 /**
- * Endpoints at which a run had better go on: much faster than its own, and with room.
+ * Returns the endpoints to which a run should move: much faster than its present one, and with free capacity.
  *
- * Load pattern: an endpoint turns three times slower for some seconds while it carries a sixth of a step. What has been made
- * is not lost by moving, and reading it again takes some milliseconds.
+ * Load pattern: an endpoint becomes three times slower for some seconds while it carries a sixth of a step. A move does not lose generated text;
+ * processing it again takes some milliseconds.
  *
- * @param isLong - whether the run has made many events already, and since it was last moved
+ * @param isLong - whether the run has made many events already, and since its last move
  */
 export function listBetter(current: DirectCandidate, others: readonly DirectCandidate[], isLong: boolean): DirectCandidate[] {
 	const {paceMs: currentMs} = current;
@@ -126,7 +125,7 @@
 		: others.filter(({open, others: elsewhere, slots, paceMs}) => open + elsewhere < slots && paceMs !== undefined && paceMs * factor < currentMs);
 }
 
-/** Middle of the measured paces; undefined if there are none. */
+/** Returns the median of the measured paces, in milliseconds per unit of work; undefined if there are none. */
 export function findMedianPaceMs(candidates: readonly DirectCandidate[]): number | undefined {
 	return findMiddle(candidates.flatMap(({paceMs}) => paceMs === undefined ? [] : [paceMs]));
 }
@@ -134,7 +133,7 @@
 /**
  * Chooses an endpoint.
  *
- * @param chance - a number in [0, 1) that decides between equals, so that processes don't all choose the same one
+ * @param chance - a number in [0, 1) that decides between equal endpoints, so that processes don't all choose the same one
  * @param generation - what is expected of a text; undefined for other work
  * @returns undefined if there are no candidates
  */
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -1,54 +1,53 @@
 /**
- * Takes an endpoint that is slow or failing out of use, and brings it back when it has healed.
+ * Ejects endpoints that are slow or failing, and restores them once they have recovered.
  *
- * Load pattern: one endpoint of a few runs ten times slower, or fails half of its calls. Without this each
- * request sent there is late or lost, and a fast failure even draws more, as a failing endpoint looks idle.
- * Each endpoint is judged by its own requests, against what the others show at the same time, so that a pool
- * that is slow as a whole is not taken apart; and only a part of a pool may be out at once.
+ * Load pattern: one endpoint of a few runs ten times slower, or fails half of its calls. Without ejection each request sent to it is late or lost, and
+ * fast failures attract even more requests, as a failing endpoint looks idle. Each endpoint is judged by its own requests relative to those of the
+ * others at the same time, so that a pool that is slow as a whole stays in use; and only a part of a pool may be ejected at the same time.
  */
 
-/** What one request showed of its endpoint. */
+/** Result of one request to an endpoint. */
 export type RequestObservation = {
 	hasFailed: boolean;
-	/** Time taken, or taken so far, over the time expected for its work. */
+	/** Duration, or duration so far, over the expected duration of its work. */
 	slowness: number;
 };
 
-/** Weight of a new request in the averages: ten requests are three quarters of it. */
+/** Weight of a new request in the moving averages: ten requests make up three quarters of an average. */
 const smoothingWeight = 0.13;
 
-/** Requests before the averages count. */
+/** Minimum number of requests for the averages to be used. */
 const minObservations = 5;
 
-/** Bad requests in a row that eject; by chance, where one in ten is bad, it happens once in 100,000 requests. */
+/** Consecutive bad requests that eject an endpoint; by chance, where one in ten is bad, this happens once in 100,000 requests. */
 const maxConsecutiveBad = 5;
 
-/** Part of bad requests that ejects: with retries within their budget of 10%, more than a quarter can't be mended by trying again. */
+/** Rate of bad requests that ejects an endpoint: with retries within their budget of 10%, a higher rate can't be compensated by retrying. */
 const maxBadRate = 0.25;
 
 /**
- * Slowness over the median of the others from which a request is as bad as a failed one; smaller differences are left to
- * routing. Of heavy-tailed lengths (lognormal, sigma 0.8) 4% pass it on a healthy endpoint.
+ * Slowness relative to the median of the other endpoints above which a request counts as bad; smaller differences are left to routing. Of heavy-tailed
+ * lengths (lognormal, sigma 0.8) 4% exceed it on a healthy endpoint.
  */
 const maxRelativeSlowness = 3;
 
-/** Most of a pool that may be out at once; the rest must carry the load. One may be out in a pool of two or more. */
+/** Maximum fraction of a pool that may be ejected at the same time; the rest must carry the load. In a pool of two or more, one may be ejected. */
 const maxEjectedFraction = 0.34;
 
-/** Time until the first probe and between good ones, in milliseconds. */
+/** Time until the first probe and between successful probes, in milliseconds. */
 const probeIntervalMs = 500;
 
-/** Factor by which each failed probe puts off the next, and the most that it may be put off, in milliseconds. */
+/** Factor by which each failed probe delays the next, and the maximum interval, in milliseconds. */
 const probeBackoffFactor = 1.5;
 const maxProbeIntervalMs = 2000;
 
 /**
- * Good probes in a row that bring it back. An endpoint that fails half of its calls passes five by chance once in 32 tries.
- * Healed, it is back after at most 2 s and five probes half a second apart: 4.5 s and the time of the probes.
+ * Consecutive successful probes that restore an endpoint. An endpoint that fails half of its calls passes five by chance once in 32 tries. A recovered
+ * endpoint is restored after at most 2 s and five probes half a second apart: 4.5 s plus the duration of the probes.
  */
 const requiredProbes = 5;
 
-/** Time after which a probe that has not ended counts as failed, in milliseconds. */
+/** Time after which an unfinished probe counts as failed, in milliseconds. */
 const probeTimeoutMs = 3000;
 
 type Health = {
@@ -62,18 +61,18 @@
 	nextProbeAt: number;
 };
 
-/** Judges the endpoints of one pool. */
+/** Tracks the health of the endpoints of one pool. */
 export class Ejection {
 	readonly #endpoints = new Map<string, Health>();
 
-	/** Adds an endpoint of the pool, in use. */
+	/** Adds an endpoint to the pool, in use. */
 	add(endpoint: string): void {
 		if (!this.#endpoints.has(endpoint)) {
 			this.#endpoints.set(endpoint, createHealth());
 		}
 	}
 
-	/** Forgets an endpoint that has left. */
+	/** Removes an endpoint that has left the pool. */
 	remove(endpoint: string): void {
 		this.#endpoints.delete(endpoint);
 	}
@@ -82,21 +81,21 @@
 		return this.#endpoints.get(endpoint)?.isEjected ?? false;
 	}
 
-	/** Endpoints out of use. */
+	/** Number of ejected endpoints. */
 	get ejectedCount(): number {
 		return this.#listHealth().filter(({isEjected}) => isEjected).length;
 	}
 
-	/** Whether a request that still runs has taken so long that `record` should be told now rather than at its end. */
+	/** Returns whether a running request has taken so long that it should be passed to `record` now instead of when it ends. */
 	isOverdue(endpoint: string, slowness: number): boolean {
 		const health = this.#endpoints.get(endpoint);
 		return health !== undefined && this.#isSlow(health, slowness);
 	}
 
 	/**
-	 * Learns from a request that has ended, or that is overdue; once from each.
+	 * Records a request that has ended or is overdue; must be called once per request.
 	 *
-	 * @returns whether this ejected the endpoint; what runs there may then be tried elsewhere
+	 * @returns whether this ejected the endpoint, so that its running requests may be tried elsewhere
 	 */
 	record(endpoint: string, {hasFailed, slowness}: RequestObservation, now: number): boolean {
 		const health = this.#endpoints.get(endpoint);
@@ -123,8 +122,8 @@
 	}
 
 	/**
-	 * Takes the turn to probe an ejected endpoint; false if it is not due.
-	 * The probe is a second copy of an idempotent request or a health call, never the only copy of a caller's.
+	 * Starts a probe of an ejected endpoint; returns false if none is due. A probe is a second copy of an idempotent request or a health check, never the
+	 * only copy of a caller's request.
 	 */
 	tryTakeProbe(endpoint: string, now: number): boolean {
 		const health = this.#endpoints.get(endpoint);
@@ -132,12 +131,12 @@
 			return false;
 		}
 
-		// Until it ends; a probe that never does is not waited for.
+		// Applies until the probe ends; a probe that never ends delays the next one by this time only.
 		health.nextProbeAt = now + probeTimeoutMs;
 		return true;
 	}
 
-	/** Learns from a probe; enough good ones bring the endpoint back. */
+	/** Records the result of a probe; enough successful ones in a row restore the endpoint. */
 	recordProbe(endpoint: string, {hasFailed, slowness}: RequestObservation, now: number): void {
 		const health = this.#endpoints.get(endpoint);
 		if (!health?.isEjected) {
@@ -164,7 +163,7 @@
 	}
 
 	#isSlow(health: Health, slowness: number): boolean {
-		// The typical is 1 at the least, so most requests are judged without it.
+		// The median is at least 1, so for most requests it need not be computed.
 		return slowness > maxRelativeSlowness && slowness > maxRelativeSlowness * this.#findMedianSlowness(health);
 	}
 
@@ -174,7 +173,7 @@
 		return this.ejectedCount < allowed;
 	}
 
-	/** Median of the others in use; 1, as expected, while there is nothing to compare with. */
+	/** Returns the median slowness of the other endpoints in use; 1, the expected slowness, without any to compare with. */
 	#findMedianSlowness(health: Health): number {
 		const others = this.#listHealth()
 			.filter(other => other !== health && !other.isEjected && other.count >= minObservations)
--- a/packages/decisions/src/expected-headroom.ts
+++ b/packages/decisions/src/expected-headroom.ts
@@ -1,38 +1,38 @@
 /**
- * Whether an endpoint has probably room for one more request.
+ * Estimates whether an endpoint has capacity for one more request.
  *
- * Load pattern: calls of 25 ms go to endpoints that tell their load with each answer, some hundred ms apart, while other hosts send there as well.
- * What was told is true for the time of a few requests; believed for a second it keeps calls away from slots that are free, and not believed at all
- * it sends a burst to endpoints that are full.
+ * Load pattern: calls of 25 ms go to endpoints that report their load with each answer, some hundred ms apart, while other hosts send requests to them
+ * as well. A report is valid for the duration of a few requests. If it is trusted for a second, calls avoid slots that are free; if it is ignored, a
+ * burst goes to endpoints that are full.
  */
 import {findMiddle} from '@wasabiusher/shared';
 import {defaultWorkMs} from './retry-after-plan.js';
 
-/** What is known of an endpoint's room. */
+/** Known occupancy of an endpoint. */
 export type EndpointOccupancy = {
 	slots: number;
-	/** Requests of this process that are open there. */
+	/** Open requests of this process at the endpoint. */
 	open: number;
-	/** Requests of other processes there, as last told, and the age of that in milliseconds. */
+	/** Open requests of other processes at the endpoint, as last reported, and the age of that report in milliseconds. */
 	others: number;
 	ageMs: number;
-	/** Time that a request takes there, in milliseconds; undefined until measured. */
+	/** Time that a request takes at the endpoint, in milliseconds; undefined until measured. */
 	workMs: number | undefined;
 };
 
-/** Requests that wait at the endpoint itself, so that a slot is not idle while the answer and the next request are on their way. */
+/** Requests that may queue at the endpoint, so that no slot is idle while an answer and the next request are in transit. */
 const queuedAhead = 1;
 
-/** Pace over the typical one from which an endpoint is slow: more than sound endpoints of one service differ by. */
+/** Factor over the median pace above which an endpoint counts as slow: more than the difference between healthy endpoints of one service. */
 const slowPaceFactor = 1.8;
 
-/** Pace above which an endpoint of a service is slow, in milliseconds; undefined until some were measured. */
+/** Returns the pace above which an endpoint of a service counts as slow, in milliseconds; undefined until some were measured. */
 export function findSlowPace(pacesMs: ReadonlyArray<number | undefined>): number | undefined {
 	const medianMs = findMiddle(pacesMs.filter(paceMs => paceMs !== undefined));
 	return medianMs === undefined ? undefined : slowPaceFactor * medianMs;
 }
 
-/** Whether it has probably room now: by what was told, less what has ended since then at its pace. */
+/** Returns whether the endpoint probably has capacity now: by its last report, minus the requests that have ended since then at its pace. */
 export function isRoomExpected({
 	slots, open, others: openElsewhere, ageMs, workMs = defaultWorkMs,
 }: EndpointOccupancy): boolean {
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -1,34 +1,32 @@
 /**
- * The waiting line of an executor: urgent classes first, weighted fair among callers by work.
+ * Wait queue of an executor: strict priority among classes, weighted fair queueing by work among callers.
  *
- * Load pattern: one caller, or one class, sends far more than its share. Without this
- * its requests fill the line and all others wait behind them.
+ * Load pattern: one caller, or one class, sends far more than its share. Without fair queueing its requests fill the queue and all others wait behind
+ * them.
  *
- * Classes go in strict order of urgency, but each less urgent class that has waiters is
- * owed a floor of the work served, so that none starves. Share that a class or caller
- * leaves idle is used by the others at once, and is taken back at the next `pop` after
- * it returns: within the time until the next slot is free, as running work is not stopped.
+ * Classes are served in strict order of urgency, but each less urgent class with waiting jobs is guaranteed a minimum part of the work served, so that
+ * none starves. Capacity that a class or caller does not use is available to the others, and is reclaimed at the next `pop` after it returns: within the
+ * time until the next slot is free, as running work is not stopped.
  */
 import {priorityClasses, type PriorityClass} from '@wasabiusher/shared';
 import {CallerQueue, type QueuedJob, type Ticket} from './caller-queue.js';
 
 export type {Ticket} from './caller-queue.js';
 
-/** Bounds of what one caller may have waiting. */
+/** Bounds on the waiting jobs of one caller. */
 export type CallerBounds = {
-	/** Jobs. */
+	/** Number of jobs. */
 	count: number;
 	/** Work, in the unit of the tickets' cost. */
 	work: number;
 };
 
-/** What one caller, or all, have waiting. */
+/** Waiting jobs of one caller: their number and work. */
 export type Backlog = {count: number; work: number};
 
 /**
- * Least part of the work served that a class is owed while it has waiters. 10% keeps
- * rollouts moving through an interactive flood; background work, for which nobody waits, gets half
- * of that. Together they leave 85% to interactive callers at the worst.
+ * Minimum part of the served work that each class gets while it has waiting jobs. 10% keeps rollouts in progress during a flood of interactive requests;
+ * background work, for which nobody waits, gets half of that. Together they leave at least 85% to interactive callers.
  */
 export const classFloors: Readonly<Record<PriorityClass, number>> = {interactive: 0, rollout: 0.1, background: 0.05};
 
@@ -37,13 +35,13 @@
 type ClassQueue<Job> = {
 	floor: number;
 	queue: CallerQueue<Job>;
-	/** Work owed to it. */
+	/** Work that it has accrued from its minimum part. */
 	credit: number;
 };
 
 const emptyBacklog: Readonly<Backlog> = {count: 0, work: 0};
 
-/** Jobs in fair order; each operation takes O(log callers). */
+/** Queues jobs in fair order; each operation takes O(log callers). */
 export class FairQueue<Job> {
 	readonly #bounds: CallerBounds;
 	readonly #classes: ReadonlyArray<ClassQueue<Job>>;
@@ -51,7 +49,7 @@
 	readonly #backlogs = new Map<string, Backlog>();
 	#work = 0;
 
-	/** @param bounds - of what one caller may have waiting; none by default */
+	/** @param bounds - on the waiting jobs of one caller; unbounded by default */
 	constructor(bounds: CallerBounds = unbounded) {
 		this.#bounds = bounds;
 		this.#classes = priorityClasses.map(name => ({floor: classFloors[name], queue: new CallerQueue<Job>(), credit: 0}));
@@ -61,21 +59,21 @@
 		return this.#entries.size;
 	}
 
-	/** Work that waits, in the unit of the tickets' cost. */
+	/** Waiting work, in the unit of the tickets' cost. */
 	get work(): number {
 		return this.#work;
 	}
 
-	/** What a caller has waiting. */
+	/** Returns the number and work of a caller's waiting jobs. */
 	backlogOf(caller: string): Readonly<Backlog> {
 		return this.#backlogs.get(caller) ?? emptyBacklog;
 	}
 
-	/** Adds a job; false if its caller's bound is met or its id is already there. */
+	/** Adds a job; returns false if its caller's bound is reached or its id is already queued. */
 	push(ticket: Ticket, job: Job): boolean {
 		const backlog = this.backlogOf(ticket.caller);
 		const exceedsBound = backlog.count + 1 > this.#bounds.count || backlog.work + ticket.cost > this.#bounds.work;
-		// One job may exceed the bound in work by itself, or it could never run.
+		// A single job may exceed the bound on work, or it could never run.
 		if (this.#entries.has(ticket.id) || (exceedsBound && backlog.count > 0)) {
 			return false;
 		}
@@ -87,12 +85,12 @@
 		return true;
 	}
 
-	/** Class of the job whose turn it is; a less urgent one may have to leave slots free. */
+	/** Class of the next job; a less urgent one may have to leave slots free. */
 	get nextClass(): PriorityClass | undefined {
 		return this.#chooseNextQueue()?.queue.first?.ticket.class;
 	}
 
-	/** Takes the job whose turn it is. */
+	/** Removes and returns the next job. */
 	pop(): Job | undefined {
 		const next = this.#chooseNextQueue();
 		if (!next) {
@@ -105,7 +103,7 @@
 		return job;
 	}
 
-	/** Takes out a job whose turn has not come; undefined if it is not there. */
+	/** Removes a job before it is served; returns undefined if it is not queued. */
 	remove(id: string): Job | undefined {
 		const entry = this.#entries.get(id);
 		if (!entry) {
@@ -122,7 +120,7 @@
 		return this.#classes[priorityClasses.indexOf(name)]!;
 	}
 
-	/** A class that is owed its next job goes first, else the most urgent. */
+	/** Returns the queue of a class that has accrued enough credit for its next job, or else of the most urgent class with waiting jobs. */
 	#chooseNextQueue(): ClassQueue<Job> | undefined {
 		const owed = this.#classes.find(({queue, credit}) => queue.first && credit >= queue.first.ticket.cost && credit > 0);
 		return owed ?? this.#classes.find(({queue}) => !queue.isEmpty);
@@ -132,7 +130,7 @@
 		const servedIndex = this.#classes.indexOf(served);
 		for (const [index, other] of this.#classes.entries()) {
 			if (other.queue.isEmpty) {
-				// Nothing is owed to a class that doesn't wait, so none can be saved up.
+				// Classes without waiting jobs accrue no credit.
 				other.credit = 0;
 			} else if (index > servedIndex) {
 				other.credit += other.floor * cost;
--- a/packages/decisions/src/fast-endpoint-allocation.ts
+++ b/packages/decisions/src/fast-endpoint-allocation.ts
@@ -1,30 +1,30 @@
 /**
- * How the fast endpoints of a service are dealt to its models.
+ * Allocates the fast endpoints of a service to its models.
  *
- * Load pattern: a quarter of the endpoints makes an event in half the time, and four trainers have texts that differ in length by ten to one. The
- * longest texts of a step decide when it is whole, and on a slow endpoint one of them takes longer than the step may. A model that
- * gets none of the fast endpoints is late with every step, one that gets more than its long texts can fill gains nothing by them.
+ * Load pattern: a quarter of the endpoints generates an event in half the time, and four trainers have texts that differ in length by ten to one. The
+ * longest texts of a step decide when it is complete, and on a slow endpoint one of them takes longer than the step may. A model without fast endpoints
+ * is late with every step; one that gets more than its long texts can fill gains nothing from them.
  */
 import {clampWork, type ModelEndpoint, type ModelNeed} from './model-assignment.js';
 
-/** Pace over the best one up to which an endpoint counts as fast, as a factor: full ones are a fifth slower than idle ones. */
+/** Factor over the best pace up to which an endpoint counts as fast: full endpoints are a fifth slower than idle ones. */
 const fastPaceFactor = 1.22;
 
-/** How much a model must lack to get a fast endpoint that another model has, as a part of an endpoint: each change costs two loads. */
+/** Bonus for a model that already has the fast endpoint, as a fraction of an endpoint: each change costs two loads. */
 const retentionBonus = 0.6;
 
-/** What the fast endpoints are dealt by. */
+/** Input of the allocation. */
 export type FastAllocationInput = {
-	/** Fast endpoints that there are. */
+	/** Number of fast endpoints. */
 	fast: number;
-	/** Endpoints of each model altogether. */
+	/** Total number of endpoints of each model. */
 	shares: ReadonlyMap<string, number>;
 	demands: ReadonlyMap<string, ModelNeed>;
-	/** Fast endpoints that each model has at present. */
+	/** Number of fast endpoints that each model has at present. */
 	heldFast: ReadonlyMap<string, number>;
 };
 
-/** The fast endpoints and the others, of which some are not known yet; all are others where none is faster than the rest. */
+/** Returns the fast endpoints and the others, including those of unknown pace. If all known paces are similar, no endpoint counts as fast. */
 export function splitBySpeed(endpoints: readonly ModelEndpoint[]): {fast: ModelEndpoint[]; others: ModelEndpoint[]} {
 	const paces = endpoints.flatMap(({paceMs}) => paceMs === undefined ? [] : [paceMs]);
 	const limitMs = Math.min(...paces) * fastPaceFactor;
@@ -37,8 +37,8 @@
 }
 
 /**
- * How many of the fast endpoints each model gets, none more than its share: by its work, and by the square of its longest texts, since a text that is
- * twice as long is twice as much work and twice as likely to bind the step.
+ * Returns the number of fast endpoints of each model, at most its share: in proportion to its work and to the square of the length of its longest texts,
+ * since a text that is twice as long is twice as much work and twice as likely to determine the duration of the step.
  */
 export function allocateFastEndpoints(models: readonly string[], {fast, shares, demands: needs, heldFast: held}: FastAllocationInput): Map<string, number> {
 	const weights = new Map(models.map(model => {
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,6 @@
-/** Decisions under load: pure, without I/O or timers. */
+/**
+ * Load decisions: pure functions and state without I/O or timers.
+ */
 export * from './admission.js';
 export * from './attempt-backoff.js';
 export * from './batch-shares.js';
--- a/packages/decisions/src/model-assignment.ts
+++ b/packages/decisions/src/model-assignment.ts
@@ -1,15 +1,13 @@
 /**
- * Which endpoints of a service are kept at the newest weights of which model.
+ * Assigns the endpoints of a service to models: each is kept at the newest weights of its model.
  *
- * Load pattern: three trainers share six endpoints and publish a version each every few seconds. With every model loaded
- * everywhere each endpoint is told to load three times as often, and none takes new texts for about a second then. Each
- * endpoint therefore follows one model.
+ * Load pattern: three trainers share six endpoints and publish a version each every few seconds. If every endpoint holds every model, it has to load
+ * three times as often, and takes no new texts for about a second each time. Each endpoint therefore follows one model.
  *
- * The trainers' steps differ: one has short texts only, two have texts that are twice as long and over twice the work. With as many
- * endpoints each, those of the first stand idle while texts of the others wait for seconds and are made at the pace of a full
- * endpoint. So a model's share follows the work of its steps, and fast endpoints are dealt by who has the long texts, which
- * decide when a step is whole. An endpoint that changes its model loads once more, so shares and places change only for
- * a clear gain.
+ * The trainers' steps differ: one has short texts only, two have texts that are twice as long and over twice the work. With equal numbers of endpoints,
+ * those of the first are idle while texts of the others wait for seconds and are generated at the pace of a full endpoint. So the number of endpoints of
+ * a model follows the work of its steps, and fast endpoints go to models with long texts, which decide when a step is complete. An endpoint that changes
+ * its model has to load once more, so assignments change only for a clear gain.
  */
 import {rankCandidate} from '@wasabiusher/shared';
 import {allocateFastEndpoints, splitBySpeed} from './fast-endpoint-allocation.js';
@@ -19,42 +17,42 @@
 export type ModelEndpoint = {
 	id: string;
 	versions: ReadonlyMap<string, number>;
-	/** Its best pace of late, in milliseconds for an event; undefined while unknown. */
+	/** Its best recent pace, in milliseconds per event; undefined while unknown. */
 	paceMs?: number;
 };
 
-/** What the steps of a model ask for of late. */
+/** Recent demand of the steps of a model. */
 export type ModelNeed = {
-	/** Work of a step, in any unit that the models have in common. */
+	/** Work of a step, in any unit that the models share. */
 	work: number;
-	/** Its longest texts, in the same unit. */
+	/** Length of its longest texts, in the same unit. */
 	longest: number;
 };
 
 export type ModelAssignmentInput = {
 	/** Endpoints that can serve now. */
 	holders: readonly ModelEndpoint[];
-	/** The newest version of each model. */
+	/** Newest version of each model. */
 	published: ReadonlyMap<string, number>;
-	/** Models without an entry are taken to need as little as possible, if any has one. */
+	/** Demand by model. If any model has an entry, those without one count as having minimal demand. */
 	needs: ReadonlyMap<string, ModelNeed>;
-	/** The model that each endpoint was given before, as far as known; what endpoints hold tells it for the others. */
+	/** Previously assigned model of each endpoint, as far as known; for other endpoints it is derived from the versions that they hold. */
 	last?: ReadonlyMap<string, string>;
 };
 
-/** How endpoints are shared among models; see `Policy`. */
+/** How endpoints are divided among models; see `Policy`. */
 export type ModelAssignmentStrategy = Policy['placement'];
 
 /**
- * How much an endpoint's part of the work must differ to go to another model, as a part of an endpoint. Hints of lengths are far off for
- * single texts, so that the work of steps differs by a tenth from one to the next.
+ * Bonus for a model that already has the endpoint, as a fraction of an endpoint. Length hints are far off for single texts, so that the work of steps
+ * differs by a tenth from one to the next.
  */
 const retentionBonus = 0.3;
 
 /**
- * Models that each endpoint is to follow.
+ * Returns the models that each endpoint should follow.
  *
- * @returns endpoint ids and the models they follow; with fewer endpoints than models each follows all
+ * @returns models by endpoint id; with fewer endpoints than models each endpoint follows all models
  */
 export function placeModels(input: ModelAssignmentInput, strategy: ModelAssignmentStrategy = 'by-need'): Map<string, readonly string[]> {
 	return strategies[strategy](input);
@@ -83,7 +81,7 @@
 	return new Map(endpoints.flatMap(holder => assignments.has(holder) ? [[holder.id, [assignments.get(holder)!]]] : []));
 }
 
-/** The model that an endpoint has followed so far: the only one that is least behind its newest version there. */
+/** Returns the model that an endpoint has followed so far: the only one whose version there is closest to its newest one; undefined if several are. */
 function findCurrentModel({versions}: ModelEndpoint, {published}: ModelAssignmentInput): string | undefined {
 	const lags = [...versions].map(([model, version]) => ({model, lag: Math.max(0, (published.get(model) ?? version) - version)}));
 	const minLag = Math.min(...lags.map(({lag}) => lag));
@@ -95,7 +93,10 @@
 	return [...currentModels.values()].filter(other => other === model).length;
 }
 
-/** How many endpoints each model gets: one at least, the rest by work; one more goes to who has it already unless another lacks clearly more. */
+/**
+ * Returns the number of endpoints of each model: at least one, the rest by work. A model keeps an endpoint that it already has unless another model has
+ * a clearly larger shortage.
+ */
 function allocateEndpoints(models: readonly string[], {holders: endpoints, needs: demands}: ModelAssignmentInput, currentModels: ReadonlyMap<string, string | undefined>): Map<string, number> {
 	const works = models.map(model => demands.size === 0 ? 1 : clampWork(demands.get(model)?.work));
 	const total = Math.max(Number.EPSILON, works.reduce((sum, work) => sum + work, 0));
@@ -111,10 +112,10 @@
 	return shares;
 }
 
-/** Greatest work or length that counts, so that sums and squares stay finite; far more than any step asks for. */
+/** Maximum work or length that counts, so that sums and squares stay finite; far more than any step needs. */
 const maxWork = 1e15;
 
-/** What can't be counted with counts for nothing. */
+/** Returns the work within bounds; values that are not finite count as 0. */
 export function clampWork(work = 0): number {
 	return Number.isFinite(work) ? Math.min(maxWork, Math.max(0, work)) : 0;
 }
@@ -123,8 +124,13 @@
 	return [...shares.values()].reduce((total, share) => total + share, 0);
 }
 
-/** Gives each model its part of the fast endpoints, then of all others; of either first those that have followed it. */
-function assignEndpoints(models: readonly string[], shares: ReadonlyMap<string, number>, {holders: endpoints, needs: demands}: ModelAssignmentInput, currentModels: ReadonlyMap<string, string | undefined>): Map<ModelEndpoint, string> {
+/** Assigns each model its number of fast endpoints, then of all others, in both cases first those that already follow it. */
+function assignEndpoints(
+	models: readonly string[],
+	shares: ReadonlyMap<string, number>,
+	{endpoints, demands}: ModelAssignmentInput,
+	currentModels: ReadonlyMap<string, string | undefined>,
+): Map<ModelEndpoint, string> {
 	const assignments = new Map<ModelEndpoint, string>();
 	const {fast, others} = splitBySpeed(endpoints);
 	const heldFast = new Map(models.map(model => [model, fast.filter(({id}) => currentModels.get(id) === model).length]));
@@ -145,7 +151,7 @@
 	const countAssigned = (model: string, among: readonly ModelEndpoint[]) => among.filter(holder => assignments.get(holder) === model).length;
 	fill(fast, model => fastShares.get(model)! - countAssigned(model, fast));
 	fill(others, model => shares.get(model)! - countAssigned(model, endpoints));
-	// What is left of the fast ones where a model holds too few of the others.
+	// Assigns the remaining fast endpoints where a model holds too few of the others.
 	fill(endpoints, model => shares.get(model)! - countAssigned(model, endpoints));
 	return assignments;
 }
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -1,67 +1,67 @@
 /**
- * Which endpoints hold which model, adapter and role.
+ * Decides which endpoints load which model, adapter and role.
  *
- * Load pattern: the demand of several models moves over minutes. Without this an engine of the model nobody asks for
- * stands idle while another's callers are refused; and if every move of the demand is followed, engines load
- * weights instead of working. A change is made only for a gain that outweighs its cost over the time that demand usually
- * lasts, one endpoint stays put for a while after it, and no model falls below what its interactive callers need.
+ * Load pattern: the demand of several models shifts over minutes. Without placement, engines of a model without demand are idle while callers of another
+ * model are refused; and if every shift of demand is followed, engines load weights instead of working. A change is made only if its gain outweighs its
+ * cost over the time that demand usually lasts, an endpoint is not changed again for a while after a change, and no model falls below what its
+ * interactive callers need.
  *
- * What an endpoint holds is one name, such as `model`, `model:adapter` or `model#prefill`.
+ * What an endpoint holds is identified by a name such as `model`, `model:adapter` or `model#prefill`.
  */
 
-/** An endpoint and what it holds. */
+/** An endpoint and the name of what it holds. */
 export type Holder = {
 	id: string;
 	holds: string;
-	/** When it was last ordered to change, on the clock of `now`. */
+	/** Time of its last change order, on the clock of `now`. */
 	changedAt: number;
-	/** The change is still under way. */
+	/** Whether the change is still in progress. */
 	isChanging?: boolean;
 };
 
-/** Work that is asked of one model, in endpoints: what would keep so many busy. */
+/** Demand for one model, in endpoints: the number of endpoints that it would keep busy. */
 export type Demand = {
 	name: string;
 	total: number;
-	/** Part of the total that interactive callers ask. */
+	/** Part of the total that comes from interactive callers. */
 	interactive: number;
-	/** The most that it lately was; what an endpoint's leaving would cost. The total by default. */
+	/** Recent maximum, which determines the cost of removing an endpoint. Defaults to the total. */
 	peak?: number;
-	/** How long such a demand usually lasts, in milliseconds. */
+	/** How long demand usually stays at such a level, in milliseconds. */
 	lastsMs?: number;
 };
 
 export type PlacementSettings = {
-	/** Most endpoints that change at once; a third by default. */
+	/** Maximum number of endpoints that change at the same time; a third by default. */
 	maxChanging?: number;
-	/** Time that a change takes an endpoint out, in milliseconds; an adapter costs less than a model. */
+	/** Time for which a change takes an endpoint out of service, in milliseconds; an adapter costs less than a model. */
 	costMs(from: string, to: string): number;
 };
 
 export type Change = {id: string; from: string; to: string};
 
-/** A model's demand and how many endpoints hold it; one that nobody asks for has no demand. */
+/** A model's demand and the number of endpoints that hold it; a model that is not in use has no demand. */
 type ModelSupply = {demand?: Demand; count: number};
 
-/** Time that demand is taken to last until it is known, in milliseconds; a change must pay for itself within it. */
+/** Assumed duration of demand until it has been measured, in milliseconds; a change must pay for itself within it. */
 export const defaultLastsMs = 120_000;
 
-/** Gain over cost that a change must show; below it the estimate's error decides. */
+/** Minimum ratio of gain to cost of a change; below it the outcome would depend on the estimation error. */
 const minGainRatio = 2;
 
-/** Time that an endpoint stays put after a change, in milliseconds. */
+/** Minimum time between two changes of an endpoint, in milliseconds. */
 const minDwellMs = 120_000;
 
-/** Part of an endpoint that must be lacking before another is given to a model, so that rounding moves nothing. */
+/** Minimum number of endpoints that a model must be missing before it gets another one, so that rounding causes no changes. */
 const minMissingEndpoints = 0.5;
 
-/** Gain of a change that interactive callers need; it goes before all others, whatever it costs rollouts. */
+/** Gain of a change that interactive callers need; it takes precedence over all others, whatever it costs rollouts. */
 const floorChangeGainMs = Number.MAX_SAFE_INTEGER;
 
-/** Interactive demand is met with so much to spare, as its bursts are short against a change. */
+/** Factor by which the capacity for interactive demand exceeds it, as its bursts are short compared with a change. */
 const interactiveSpareFactor = 1.25;
 
-/** Chooses the changes to order now; none while nothing outweighs its cost. */
+/** Returns the changes to order now; none if no gain outweighs its cost. */
 export function planPlacement(endpoints: readonly Holder[], demands: readonly Demand[], settings: PlacementSettings, now: number): Change[] {
 	const counts = countByModel(endpoints, demands);
 	const maxChanging = settings.maxChanging ?? Math.max(1, Math.ceil(endpoints.length / 3));
@@ -110,7 +110,7 @@
 	return best;
 }
 
-/** Work gained within the horizon less that lost by the change, in endpoint milliseconds; 0 if it should not be made. */
+/** Returns the work gained within the horizon minus the work lost through the change, in endpoint milliseconds; 0 if the change should not be made. */
 function estimateGainMs(from: ModelSupply, to: ModelSupply, costMs: number): number {
 	if (isBelowFloor({...from, count: from.count - 1})) {
 		return 0;
@@ -133,7 +133,7 @@
 	return gainMs >= minGainRatio * costMs ? gainMs : 0;
 }
 
-/** Whether interactive callers of a model have fewer endpoints than they need; at least one if there are any. */
+/** Returns whether the interactive callers of a model have fewer endpoints than they need; they need at least one. */
 function isBelowFloor({demand, count}: ModelSupply): boolean {
 	return demand !== undefined && demand.interactive > 0 && count < Math.max(1, demand.interactive * interactiveSpareFactor);
 }
--- a/packages/decisions/src/poison.ts
+++ b/packages/decisions/src/poison.ts
@@ -1,62 +1,61 @@
 /**
- * Finds the request that crashes each endpoint that runs it.
+ * Identifies poison requests: requests that crash each endpoint that runs them.
  *
- * Load pattern: now and then a single request crashes its endpoint, and its caller sends it again. Without this
- * each retry and each re-send takes down one more endpoint, with all that runs there. What was in flight at a crash
- * is suspect, by a fingerprint of its content. A suspect runs again only by itself, at the one endpoint that
- * `chooseIsolation` names whichever entry asks, so that copies sent through several entries meet there. A second
- * crash quarantines it; finishing anywhere clears it.
+ * Load pattern: occasionally a single request crashes its endpoint, and its caller sends it again. Without this guard each retry and each repeated call
+ * takes down one more endpoint with all requests that run on it. Requests in flight at a crash become suspects, identified by a fingerprint of their
+ * content. A suspect only runs alone, at the one endpoint that `chooseIsolation` returns on every entry, so that copies sent through several entries
+ * meet there. A second crash quarantines it; finishing anywhere clears it.
  */
 import {orderByRank, dropOldest} from '@wasabiusher/shared';
 
-/** How a request with some fingerprint may run. */
+/** How a request with a given fingerprint may run. */
 export type Verdict
 	= | {kind: 'free'}
-		/** Alone, and not where it was when an endpoint crashed. */
+		/** Runs alone, and not on an endpoint that crashed with it in flight. */
 		| {kind: 'isolate'; avoid: readonly string[]}
 		| {kind: 'quarantined'; retryAfterMs: number};
 
-/** A crash, named the same by all that hear of it. */
+/** A crash; every process that receives it identifies it in the same way. */
 export type Crash = {
 	endpoint: string;
-	/** Tells one run of the endpoint's process from the next. */
+	/** Identifies one run of the endpoint's process. */
 	incarnation: string;
-	/** Fingerprints of what was in flight there. */
+	/** Fingerprints of the requests in flight at the endpoint. */
 	fingerprints: readonly string[];
 };
 
-/** What entries tell one another of a fingerprint; times are left over, as their clocks differ. */
+/** Record about a fingerprint that entries exchange; it contains the remaining time instead of a timestamp, as their clocks differ. */
 export type Suspicion = {
 	fingerprint: string;
-	/** `<endpoint>@<incarnation>` of each crash at which it was in flight. */
+	/** `<endpoint>@<incarnation>` of each crash at which the request was in flight. */
 	crashes: readonly string[];
-	/** Those of them that a later finish has cleared it of. */
+	/** Crashes of which a later successful run has cleared the request. */
 	cleared: readonly string[];
 	remainingMs: number;
-	/** Terms of quarantine so far. */
+	/** Number of quarantine terms so far. */
 	terms: number;
 };
 
 type Suspect = {crashes: Set<string>; cleared: Set<string>; until: number; terms: number};
 
 export type PoisonLimits = {
-	/** Crashes of different runs at which a request must have been in flight to be quarantined. */
+	/** Number of crashes of different endpoint runs, with the request in flight, that quarantine it. */
 	crashesToQuarantine: number;
-	/** How long a suspect is remembered, in milliseconds. */
+	/** Time for which a suspect is remembered, in milliseconds. */
 	suspicionMs: number;
-	/** First term of quarantine, in milliseconds, doubled by each that follows a further crash, up to a day. */
+	/** First quarantine term, in milliseconds; it doubles with each further crash, up to one day. */
 	firstTermMs: number;
 };
 
-/** For requests that run alone once they are suspect; callers that send again do so within minutes. */
+/** Defaults for requests that run alone once they are suspects; callers that retry do so within minutes. */
 const defaultLimits: PoisonLimits = {crashesToQuarantine: 2, suspicionMs: 600_000, firstTermMs: 600_000};
 
 const maxQuarantineMs = 86_400_000;
 
-/** Fingerprints remembered; an endpoint holds some hundred requests, so this covers a hundred crashes in some megabytes. */
+/** Maximum number of remembered fingerprints; an endpoint has a few hundred requests in flight, so this covers a hundred crashes in a few megabytes. */
 const maxSuspects = 10_000;
 
-/** Judges requests by what crashed. */
+/** Tracks requests that were in flight when endpoints crashed. */
 export class PoisonGuard {
 	readonly #suspects = new Map<string, Suspect>();
 	readonly #limits: PoisonLimits;
@@ -65,18 +64,18 @@
 		this.#limits = {...defaultLimits, ...limits};
 	}
 
-	/** Requests that are or were suspect; while there are none, none needs a fingerprint. */
+	/** Number of current and former suspects; while it is 0, no request needs a fingerprint. */
 	get size(): number {
 		return this.#suspects.size;
 	}
 
-	/** Whether a request was in flight at a crash of late. */
+	/** Returns whether a request was in flight at a recent crash of which it has not been cleared. */
 	isSuspect(fingerprint: string): boolean {
 		const row = this.#suspects.get(fingerprint);
 		return row !== undefined && listUnclearedCrashes(row).length > 0;
 	}
 
-	/** How a request may run now. */
+	/** Returns how a request may run now. */
 	judge(fingerprint: string, now: number): Verdict {
 		const row = this.#suspects.get(fingerprint);
 		const crashes = row ? listUnclearedCrashes(row) : [];
@@ -84,20 +83,20 @@
 			return {kind: 'free'};
 		}
 
-		// After its term it is tried again, but alone.
+		// After its term it is tried again, but in isolation.
 		return crashes.length >= this.#limits.crashesToQuarantine && now < row.until
 			? {kind: 'quarantined', retryAfterMs: row.until - now}
 			: {kind: 'isolate', avoid: crashes.map(crash => crash.slice(0, crash.lastIndexOf('@')))};
 	}
 
-	/** Suspects what was in flight at a crash; one that was heard of already changes nothing. */
+	/** Makes the requests in flight at a crash suspects; a crash that is already known changes nothing. */
 	recordCrash({endpoint, incarnation, fingerprints}: Crash, now: number): void {
 		for (const fingerprint of new Set(fingerprints)) {
 			this.#addCrashes(fingerprint, [`${endpoint}@${incarnation}`], now);
 		}
 	}
 
-	/** It finished, so it was not what crashed an endpoint. */
+	/** Clears a request that finished of the crashes known so far. */
 	recordFinished(fingerprint: string): void {
 		const row = this.#suspects.get(fingerprint);
 		if (row) {
@@ -105,14 +104,14 @@
 		}
 	}
 
-	/** What to tell other entries. */
+	/** Returns the records to send to other entries. */
 	list(now: number): Suspicion[] {
 		return [...this.#suspects].map(([fingerprint, {crashes, cleared, until, terms}]) => ({
 			fingerprint, crashes: [...crashes], cleared: [...cleared], remainingMs: Math.max(0, until - now), terms,
 		}));
 	}
 
-	/** Takes what another entry tells; in any order and any number of times. */
+	/** Merges the records of another entry; idempotent and independent of their order. */
 	merge(suspicions: readonly Suspicion[], now: number): void {
 		for (const {fingerprint, crashes, cleared, remainingMs, terms} of suspicions) {
 			this.#addCrashes(fingerprint, crashes, now);
@@ -154,9 +153,9 @@
 }
 
 /**
- * The endpoint at which a suspect runs alone: the same whichever entry asks.
+ * Returns the endpoint at which a suspect runs alone; the same on every entry.
  *
- * @param avoid - endpoints that crashed with it in flight
+ * @param avoid - endpoints that crashed with the request in flight
  */
 export function chooseIsolation(fingerprint: string, endpoints: readonly string[], avoid: readonly string[]): string | undefined {
 	const [first] = orderByRank(fingerprint, endpoints.filter(endpoint => !avoid.includes(endpoint)));
--- a/packages/decisions/src/staleness.ts
+++ b/packages/decisions/src/staleness.ts
@@ -1,50 +1,49 @@
 /**
- * What is started, cancelled and handed over, by the age of the weights.
+ * Decides what is started, cancelled and handed over, by the age of the weights.
  *
- * Load pattern: weights every few minutes, and samples that take minutes. Without a gate engines generate what will be
- * too old when it is done: tokens thrown away, drawn again while the trainer waits. What would be stale
- * at its expected finish is not started, what has become stale is cancelled, and hand-over judges again from the
- * versions that truly made the sample.
+ * Load pattern: new weights every few minutes, and samples that take minutes. Without a check, engines generate samples that are too old when they
+ * finish: the tokens are discarded and generated again while the trainer waits. Work that would be stale at its expected finish is not started, work
+ * that has become stale is cancelled, and the handover checks again with the versions that actually made the sample.
  */
 import type {Freshness} from '@wasabiusher/shared';
 
-/** What is known of the trainer's versions. */
+/** Known and expected weight versions of a trainer. */
 export type VersionForecast = {
-	/** Version that the trainer last stated. */
+	/** Version that the trainer last announced. */
 	current: number;
-	/** When it came, on the clock of `now`. */
+	/** Time of that announcement, on the clock of `now`. */
 	since: number;
-	/** Usual time between versions in milliseconds; undefined until two have come. */
+	/** Usual time between versions, in milliseconds; undefined until two have been announced. */
 	intervalMs?: number;
 };
 
-/** Work that may be started. */
+/** Work that could be started now. */
 export type PlannedWork = {
 	/** Version that the endpoint reports. */
 	engineVersion: number;
-	/** When it is expected to be whole. */
+	/** Expected time of completion, on the clock of `now`. */
 	finishAt: number;
-	/** Steps of the same trainer that must be taken before this one: 0 for the current, 1 for the next. */
+	/** Number of steps that the trainer takes before this one: 0 for the current step, 1 for the next. */
 	stepsAhead: number;
 };
 
-/** What made a sample. */
+/** Weight versions that made a sample. */
 export type SampleOrigin = {
 	/** Version of its oldest part. */
 	oldestVersion: number;
-	/** When a newer version than that came, on the clock of `now`; undefined if none has. */
+	/** Time of the first newer version, on the clock of `now`; undefined if there is none. */
 	supersededAt?: number;
 };
 
-/** `wait` means that a newer version will come and then the work can be in time. */
+/** `wait` means that the work can be in time once a newer version is available. */
 export type DispatchDecision = 'start' | 'wait';
 
-/** Version that the trainer will state at a time. */
+/** Returns the version that the trainer is expected to have at a time. */
 export function estimateVersion({current, since, intervalMs}: VersionForecast, at: number): number {
 	return intervalMs === undefined ? current : current + Math.max(0, Math.floor((at - since) / intervalMs));
 }
 
-/** Whether work may be started now. */
+/** Returns whether work may be started now. */
 export function judgeDispatch(freshness: Freshness, forecast: VersionForecast, draft: PlannedWork, now: number): DispatchDecision {
 	if (countVersionLag(forecast, draft) <= freshness.versions) {
 		return 'start';
@@ -57,13 +56,16 @@
 	return canFinishFreshAfterNextVersion(freshness, forecast, draft, now) ? 'wait' : 'start';
 }
 
-/** Versions that the work would lie behind its trainer when it is taken. Each step taken makes one version. */
+/** Returns the number of versions by which the work lags behind its trainer when it is handed over. Each step makes one version. */
 function countVersionLag(forecast: VersionForecast, {engineVersion, finishAt, stepsAhead}: PlannedWork): number {
 	const versionByStepOrder = forecast.current + stepsAhead;
 	return Math.max(versionByStepOrder, estimateVersion(forecast, finishAt)) - engineVersion;
 }
 
-/** On the newest weights, waiting helps only if the work fits between later versions; else it would wait for ever. */
+/**
+ * Returns whether work begun after the next version would be fresh enough. On the newest weights, waiting helps only if the work fits between later
+ * versions; otherwise it would wait forever.
+ */
 function canFinishFreshAfterNextVersion(freshness: Freshness, forecast: VersionForecast, draft: PlannedWork, now: number): boolean {
 	const {intervalMs} = forecast;
 	if (intervalMs === undefined) {
@@ -74,25 +76,22 @@
 	return Math.floor(durationMs / intervalMs) <= freshness.versions;
 }
 
-/** Whether a sample may not be handed over to a trainer at this version; the last word, from reported versions only. */
+/** Returns whether a sample is too old to be handed over to a trainer at this version. This is the final check, based on reported versions only. */
 export function isStale(freshness: Freshness, {oldestVersion, supersededAt}: SampleOrigin, trainerVersion: number, now: number): boolean {
 	const isTooOld = trainerVersion - oldestVersion > freshness.versions;
 	const isTooLate = freshness.seconds !== undefined && supersededAt !== undefined && now - supersededAt > freshness.seconds * 1000;
 	return isTooOld || isTooLate;
 }
 
-/**
- * Whether a running sample is to be cancelled and drawn again: it is stale for the step that it belongs to, so that
- * each further token would be thrown away.
- */
+/** Returns whether a running sample should be cancelled and drawn again: it is stale for its step, so all further tokens would be discarded. */
 export function shouldCancel(freshness: Freshness, origin: SampleOrigin, {current, stepsAhead}: {current: number; stepsAhead: number}, now: number): boolean {
 	return isStale(freshness, origin, current + stepsAhead, now);
 }
 
-/** Weight of the newest interval; versions come at a steady pace, so a few are enough. */
+/** Weight of the newest interval; versions are published at a steady pace, so a few are enough. */
 const intervalSmoothingWeight = 0.5;
 
-/** Forecast after the trainer has stated a version; the same or a lower one changes nothing. */
+/** Returns the forecast after the trainer has announced a version; the same or a lower version changes nothing. */
 export function observeVersion(forecast: VersionForecast | undefined, version: number, now: number): VersionForecast {
 	if (!forecast) {
 		return {current: version, since: now};
--- a/packages/decisions/src/step-order.ts
+++ b/packages/decisions/src/step-order.ts
@@ -1,25 +1,24 @@
 /**
- * In which order the samples of a step are started.
+ * Orders the samples of a step.
  *
- * Load pattern: 2,048 samples in groups of 8 with heavy-tailed lengths. Without an order a long one that
- * starts last keeps the trainer waiting while all other slots are idle. Longest first bounds the time to 4/3
- * of the best (Graham, 1969). A group's samples follow one another, so that its prompt is computed
- * once and the group is whole early; one of each group goes ahead while its length is not known.
+ * Load pattern: 2,048 samples in groups of 8 with heavy-tailed lengths. Without an order, a long sample that starts last keeps the trainer waiting while
+ * all other slots are idle. Longest first bounds the time to 4/3 of the optimum (Graham, 1969). A group's samples follow one another, so that its prompt
+ * is computed once and the group is complete early; while a group's length is unknown, one of its samples goes ahead.
  */
 
 /** A sample that has not been started. */
 export type PendingSample = {
 	group: number;
 	index: number;
-	/** Expected tokens, as `LengthPrediction` gives them. */
+	/** Expected number of tokens, from `LengthPrediction`. */
 	predictedTokens: number;
-	/** Another attempt at a sample of which one was lost or became stale; the rest of its group waits for it. */
+	/** Replaces a sample that was lost or became stale; the rest of its group waits for it. */
 	isRedrawn?: boolean;
-	/** No sample of its prompt has finished yet, so that the prediction says nothing of this prompt. */
+	/** No sample of its prompt has finished yet, so the prediction says nothing about this prompt. */
 	isUnknown?: boolean;
 };
 
-/** Orders samples: redrawn ones, one of each unknown group, then whole groups, those with the longest sample first. */
+/** Returns the samples in start order: redrawn samples, then one sample of each group of unknown length, then whole groups, those with the longest sample first. */
 export function orderSamples(samples: readonly PendingSample[]): PendingSample[] {
 	const longest = new Map<number, number>();
 	const probes = new Map<number, number>();
@@ -45,16 +44,16 @@
 		|| a.index - b.index);
 }
 
-/** A prediction is a mean; a sample may well take this many times as long. */
+/** Factor by which a sample can exceed its prediction, which is a mean. */
 const lengthMargin = 1.5;
 
 /**
- * Chooses the next sample for an endpoint: the longest that it likely finishes before the step would be whole,
- * else the shortest. A slow endpoint that takes one of the longest makes the whole step wait for it.
+ * Chooses the next sample for an endpoint: the longest that is likely to finish before the step would be complete, or else the shortest. If a slow
+ * endpoint takes one of the longest samples, the whole step waits for it.
  *
- * @param ordered - as `orderSamples` gives them
- * @param speed - tokens a millisecond that a sample gets there
- * @param timeLeftMs - predicted tokens left of the step over what all endpoints make in a millisecond
+ * @param ordered - samples in the order of `orderSamples`
+ * @param speed - tokens per millisecond of a sample at the endpoint
+ * @param timeLeftMs - predicted remaining tokens of the step over the tokens per millisecond of all endpoints
  */
 export function chooseSample(ordered: readonly PendingSample[], speed: number, timeLeftMs: number): PendingSample | undefined {
 	const fitting = ordered.find(({predictedTokens}) => lengthMargin * predictedTokens / speed <= timeLeftMs);
