--- a/packages/decisions/src/model-assignment.ts
+++ b/packages/decisions/src/model-assignment.ts
@@ -128,7 +128,7 @@
 function assignEndpoints(
 	models: readonly string[],
 	shares: ReadonlyMap<string, number>,
-	{endpoints, demands}: ModelAssignmentInput,
+	{holders: endpoints, needs: demands}: ModelAssignmentInput,
 	currentModels: ReadonlyMap<string, string | undefined>,
 ): Map<ModelEndpoint, string> {
 	const assignments = new Map<ModelEndpoint, string>();
