--- a/packages/decisions/__tests__/admission.spec.ts
+++ b/packages/decisions/__tests__/admission.spec.ts
@@ -25,19 +25,19 @@
 		const admission = new Admission(bounds);
 		const decisions = Array.from({length: 100}, (_, i) => admission.reserve(createApplicant({caller: `c${i}`, cost: 10, deadlineAt: 500}), 0, 1));
 		const admitted = decisions.filter(({kind}) => kind === 'admitted');
-		// 10 ms of work each, 80% of 500 ms less the 10 ms of service.
+		// 10 ms of work each; 80% of 500 ms minus the 10 ms of service.
 		expect(admitted).to.have.lengthOf(40);
 		expect(decisions.at(-1)).to.deep.include({kind: 'refused', reason: 'deadline-too-near'});
 	});
 
-	it('says when to come back', () => {
+	it('tells a refused caller when to come back', () => {
 		const admission = new Admission(bounds);
 		reserveMany(admission, 90, {cost: 50, deadlineAt: 1e9});
 		const decision = admission.reserve(createApplicant({deadlineAt: 1000, caller: 'a'}), 0, 1);
 		expect(decision.kind === 'refused' && decision.retryAfterMs).to.be.within(3500, 4500);
 	});
 
-	it('does not hold one caller\'s pile against another', () => {
+	it('does not count one caller\'s backlog against another caller', () => {
 		const admission = new Admission(bounds);
 		reserveMany(admission, 100, {caller: 'hot', cost: 50, deadlineAt: 1e9});
 		expect(admission.reserve(createApplicant({caller: 'hot'}), 0, 1)).to.deep.include({reason: 'caller-full'});
@@ -45,7 +45,7 @@
 		expect(other).to.deep.equal({kind: 'admitted', waitMs: 20});
 	});
 
-	it('counts only as urgent or more urgent work ahead of a request', () => {
+	it('counts only equally or more urgent work as ahead of a request', () => {
 		const admission = new Admission(bounds);
 		reserveMany(admission, 50, {
 			class: 'rollout', caller: 'r', cost: 50, deadlineAt: 1e9,
@@ -55,7 +55,7 @@
 		expect(admission.estimateWaitMs(createApplicant({class: 'rollout', caller: 's', cost: 100}), 1)).to.equal(50 + 300);
 	});
 
-	it('bounds the line in count and in work', () => {
+	it('bounds the queue in count and in work', () => {
 		const full = new Admission({...bounds, count: 2});
 		reserveMany(full, 2, {});
 		expect(full.reserve(createApplicant({caller: 'b'}), 0, 1)).to.deep.include({reason: 'queue-full'});
@@ -64,7 +64,7 @@
 		expect(heavy.reserve(createApplicant({caller: 'b', cost: 20}), 0, 1)).to.deep.include({reason: 'work-full'});
 	});
 
-	it('frees a position on each exit, once', () => {
+	it('releases a position once, however its request ends', () => {
 		const admission = new Admission({...bounds, count: 1});
 		const [first, second] = [createApplicant(), createApplicant()];
 		admission.reserve(first, 0, 1);
@@ -78,7 +78,7 @@
 		expect([admission.waiting, admission.work]).to.deep.equal([0, 0]);
 	});
 
-	it('refuses a deadline that has passed', () => {
+	it('refuses a request whose deadline has passed', () => {
 		expect(new Admission(bounds).reserve(createApplicant({deadlineAt: 5}), 5, 1)).to.deep.include({reason: 'deadline-too-near'});
 	});
 });
@@ -93,7 +93,7 @@
 		expect(rate.perMs).to.be.within(4.8, 5.3);
 	});
 
-	it('does not take an idle time for a slow one', () => {
+	it('does not mistake an idle period for a slow one', () => {
 		const rate = new DrainRate(10);
 		for (let now = 0; now <= 3000; now += 100) {
 			rate.record(1, now, false);
--- a/packages/decisions/__tests__/attempt-backoff.spec.ts
+++ b/packages/decisions/__tests__/attempt-backoff.spec.ts
@@ -13,12 +13,12 @@
 		clock.uninstall();
 	});
 
-	it('lets one attempt at a time through while an endpoint loads, and all soon after it has loaded', async () => {
+	it('allows one attempt at a time while an endpoint loads, and all attempts soon after it has loaded', async () => {
 		const loadedAt = 900;
 		const pause = new AttemptPause({firstMs: 50, longestMs: 150});
 		let refused = 0;
 		let firstSuccessAt: number | undefined;
-		// Twenty samples wait; each tries as soon as it may, and is answered after 5 ms.
+		// Twenty samples wait; each tries as soon as it is allowed to, and is answered after 5 ms.
 		const attempt = () => {
 			pause.begin();
 			setTimeout(() => {
@@ -46,12 +46,12 @@
 			}
 		}
 
-		// Twenty of these were under way before the first refusal.
+		// Twenty of these were in flight before the first refusal.
 		expect(refused).to.be.below(30);
 		expect(firstSuccessAt).to.be.within(loadedAt, loadedAt + 160);
 	});
 
-	it('lets the next attempt through when one has ended without an answer', () => {
+	it('allows the next attempt after one has ended without an answer', () => {
 		const pause = new AttemptPause({firstMs: 50, longestMs: 150});
 		pause.record();
 		clock.tick(50);
--- a/packages/decisions/__tests__/batch-shares.spec.ts
+++ b/packages/decisions/__tests__/batch-shares.spec.ts
@@ -22,18 +22,18 @@
 		samples: 160, groups: 20, hosts: 88, endpoints: 27,
 	};
 
-	it('divides a great batch and leaves a small one to one host', () => {
+	it('divides a large batch and leaves a small one to one host', () => {
 		expect(countShares(request)).to.equal(5);
 		expect(countShares({...request, samples: 4, groups: 1})).to.equal(1);
 	});
 
-	it('keeps the list of results from being written by more than sixteen hosts', () => {
+	it('limits the hosts that append to the list of results to sixteen', () => {
 		expect(countShares({
 			samples: 2048, groups: 256, hosts: 1700, endpoints: 10_000,
 		})).to.equal(16);
 	});
 
-	it('takes a quarter of the hosts at most, and leaves three endpoints and a group to each share', () => {
+	it('uses at most a quarter of the hosts, with three endpoints and a group per share', () => {
 		expect(countShares({...request, hosts: 8})).to.equal(2);
 		expect(countShares({...request, hosts: 1})).to.equal(1);
 		expect(countShares({...request, endpoints: 13.5})).to.equal(4);
@@ -43,7 +43,7 @@
 });
 
 describe('chooseWorkers', () => {
-	it('keeps each share at the host that had it, while that one is alive, in time and has room', () => {
+	it('keeps each share at its last host while that one is alive, responsive and has free capacity', () => {
 		const candidates = [createCandidate('c1', working), createCandidate('c2', working), createCandidate('c3')];
 		const request = createRequest({count: 2, last: ['c2', 'c1']});
 		expect(chooseWorkers(candidates, request)).to.deep.equal(['c2', 'c1']);
@@ -54,7 +54,7 @@
 		}
 	});
 
-	it('gives the shares of 160 texts to large hosts in all data centres, and none to a herd of small ones', () => {
+	it('assigns the shares of 160 generations to large hosts in all data centres, and none to many small ones', () => {
 		const large = Array.from({length: 10}, (_, i) => createCandidate(`c${i}`, {dataCentre: `d${i % 5}`}));
 		const small = Array.from({length: 40}, (_, i) => createCandidate(`c${100 + i}`, {dataCentre: `d${i % 5}`, cores: 0.243}));
 		const endpoints = new Map(Array.from({length: 5}, (_, i) => [`d${i}`, 5]));
@@ -63,7 +63,7 @@
 		expect(places.toSorted((a, b) => a! < b! ? -1 : 1)).to.deep.equal(['d0', 'd1', 'd2', 'd3', 'd4']);
 	});
 
-	it('gives nothing new to a host that is silent though it works, or late, and takes a small one before none', () => {
+	it('assigns no new share to a host that misses heartbeats or lags, and uses a small one rather than none', () => {
 		const candidates = [
 			createCandidate('c1', {isResting: false, silentMs: 1000}), createCandidate('c2', {lateMs: 20}), createCandidate('c3', {cores: 0.243}),
 		];
@@ -71,14 +71,14 @@
 		expect(chooseWorkers(candidates, createRequest({count: 3}))).to.deep.equal(['c3']);
 	});
 
-	it('prefers the host that chooses if it has room, and otherwise the one with the most', () => {
+	it('prefers the deciding host if it has free capacity, and otherwise the one with the most', () => {
 		const here = createCandidate('c1', {isHere: true, cores: 0.243});
 		const candidates = [here, createCandidate('c2', {samples: 40}), createCandidate('c3')];
 		expect(chooseWorkers(candidates, createRequest({samples: 4}))).to.deep.equal(['c1']);
 		expect(chooseWorkers(candidates, createRequest({samples: 30}))).to.deep.equal(['c3']);
 	});
 
-	it('lets trainers choose different hosts among equals', () => {
+	it('chooses different hosts for different trainers among equal ones', () => {
 		const candidates = [createCandidate('c1'), createCandidate('c2')];
 		expect(chooseWorkers(candidates, createRequest({rank: id => id === 'c1' ? 1 : 0}))).to.deep.equal(['c1']);
 		expect(chooseWorkers(candidates, createRequest({rank: id => id === 'c2' ? 1 : 0}))).to.deep.equal(['c2']);
@@ -86,7 +86,7 @@
 });
 
 describe('divideGroups', () => {
-	it('gives each share as many groups, and long ones to all', () => {
+	it('divides groups evenly, and gives long ones to every share', () => {
 		const groups = [9, 1, 8, 2, 7, 3, 6, 4].map((longest, i) => ({id: `g${i}`, longest}));
 		const shares = divideGroups(groups, 3);
 		expect(shares.flat().toSorted()).to.deep.equal(groups.map(({id}) => id));
@@ -100,13 +100,13 @@
 describe('divideEndpoints', () => {
 	const endpoints = ['a', 'b', 'c', 'd', 'e', 'f', 'g'].map((id, i) => ({id, dataCentre: i < 4 ? 'd1' : 'd2'}));
 
-	it('gives each worker endpoints of its own, near ones first, as evenly as they can be', () => {
+	it('divides endpoints evenly among workers, local ones first', () => {
 		const shares = divideEndpoints(endpoints, ['d1', 'd2', 'd3']);
 		expect(shares).to.deep.equal([['a', 'b', 'c'], ['e', 'f', 'g'], ['d']]);
 		expect(divideEndpoints(endpoints.slice(0, 1), ['d2', 'd1'])).to.deep.equal([[], ['a']]);
 	});
 
-	it('gives each worker its part of the fast endpoints, wherever they are, and forgets none', () => {
+	it('divides the fast endpoints evenly, wherever they are, and assigns every endpoint', () => {
 		const uneven = endpoints.map(endpoint => ({...endpoint, isFast: ['a', 'b', 'c'].includes(endpoint.id)}));
 		const shares = divideEndpoints(uneven, ['d1', 'd2', 'd3']);
 		expect(shares.map(ids => ids.filter(id => ['a', 'b', 'c'].includes(id)).length)).to.deep.equal([1, 1, 1]);
@@ -114,7 +114,7 @@
 		expect(Math.max(...shares.map(ids => ids.length))).to.equal(3);
 	});
 
-	it('changes little for the others when an endpoint goes', () => {
+	it('changes few other assignments when an endpoint is removed', () => {
 		const many = Array.from({length: 24}, (_, i) => ({id: `i${i}`, dataCentre: 'd9'}));
 		const find = (shares: string[][], id: string) => shares.findIndex(ids => ids.includes(id));
 		const before = divideEndpoints(many, ['d1', 'd2', 'd3', 'd4']);
--- a/packages/decisions/__tests__/burn-rate.spec.ts
+++ b/packages/decisions/__tests__/burn-rate.spec.ts
@@ -9,7 +9,7 @@
 	return mapBurnWindows(window => counts.countOver(window, now));
 }
 
-/** Ten requests a minute for so long, of which some fail from a minute on. */
+/** Records ten requests a minute for some minutes, of which some fail from a given minute on. */
 function observe(minutes: number, failing: (minute: number) => number): {counts: ObjectiveCounts; now: number} {
 	const counts = new ObjectiveCounts(0);
 	for (let minute = 0; minute < minutes; minute += 1) {
@@ -22,13 +22,13 @@
 }
 
 describe('burn', () => {
-	it('counts the events of each window and forgets what is older than the longest', () => {
+	it('counts the events of each window and drops those older than the longest', () => {
 		const {counts, now} = observe(400, () => 1);
 		expect(burnWindowNames.map(window => counts.countOver(window, now).total)).to.deep.equal([50, 300, 600, 3600]);
 		expect(counts.countOver('fiveMinutes', now)).to.deep.equal({good: 45, total: 50, coveredMs: 300_000});
 	});
 
-	it('is 1 when exactly the budget is spent', () => {
+	it('is 1 when the budget is spent exactly', () => {
 		const {counts, now} = observe(360, () => 1);
 		const {rates, budgetLeft, alerts} = judgeBurn(0.9, countAll(counts, now));
 		expect(rates.sixHours).to.be.closeTo(1, 1e-9);
@@ -36,17 +36,17 @@
 		expect(alerts).to.deep.equal([]);
 	});
 
-	it('tells a full outage within ten minutes', () => {
+	it('reports a full outage within ten minutes', () => {
 		const {counts, now} = observe(360, minute => minute >= 350 ? 10 : 0);
 		expect(judgeBurn(0.99, countAll(counts, now)).alerts).to.deep.equal(['fast']);
 	});
 
-	it('tells a leak that is too slow for the fast alert', () => {
+	it('reports a leak that is too slow for the fast alert', () => {
 		const {counts, now} = observe(360, minute => minute % 2);
 		expect(judgeBurn(0.995, countAll(counts, now)).alerts).to.deep.equal(['slow']);
 	});
 
-	it('rings no more once the outage is over', () => {
+	it('stops the alert once the outage is over', () => {
 		const {counts, now} = observe(360, minute => minute >= 300 && minute < 355 ? 10 : 0);
 		const {alerts, budgetLeft} = judgeBurn(0.99, countAll(counts, now));
 		expect(alerts).to.deep.equal(['slow']);
@@ -55,7 +55,7 @@
 		expect(judgeBurn(0.99, countAll(later.counts, later.now)).alerts).to.deep.equal([]);
 	});
 
-	it('does not ring for one failure among few requests', () => {
+	it('does not alert on one failure among few requests', () => {
 		const counts = new ObjectiveCounts(0);
 		counts.record(true, 0);
 		counts.record(false, 0);
@@ -64,7 +64,7 @@
 		expect(judgeBurn(0.999, countAll(counts, 1)).alerts).to.deep.equal(['fast', 'slow']);
 	});
 
-	it('says which windows lack data', () => {
+	it('lists the windows without complete data', () => {
 		const counts = new ObjectiveCounts(0);
 		const {empty, partial, budgetLeft} = judgeBurn(0.9, countAll(counts, 10 * minuteMs));
 		expect(empty).to.deep.equal(burnWindowNames);
@@ -72,7 +72,7 @@
 		expect(budgetLeft).to.equal(undefined);
 	});
 
-	it('adds up several processes, and is as well observed as the youngest', () => {
+	it('adds up the counts of several processes, with the shortest observed time', () => {
 		expect(addWindowCounts([{good: 9, total: 10, coveredMs: 50}, {good: 1, total: 5, coveredMs: 20}])).to.deep.equal({good: 10, total: 15, coveredMs: 20});
 	});
 });
--- a/packages/decisions/__tests__/checkpoint-order.spec.ts
+++ b/packages/decisions/__tests__/checkpoint-order.spec.ts
@@ -7,8 +7,8 @@
 	};
 }
 
-describe('Order of checkpoints', () => {
-	it('puts long texts first, then those of which much is unwritten, and those that alone keep their group from being whole', () => {
+describe('orderCheckpoint', () => {
+	it('puts long generations first, then those with many unwritten events, and those that are the last missing ones of their group', () => {
 		const texts = [
 			createText('usual'),
 			createText('long', {events: 140, writtenEvents: 120}),
@@ -18,7 +18,7 @@
 		expect(orderCheckpoint(texts)).to.deep.equal(['alone', 'long', 'unwritten', 'usual']);
 	});
 
-	it('leaves out what has hardly grown', () => {
+	it('leaves out generations with few new events', () => {
 		expect(orderCheckpoint([createText('a', {writtenEvents: 35}), createText('b', {writtenEvents: 34})])).to.deep.equal(['b']);
 	});
 });
--- a/packages/decisions/__tests__/commit-order.spec.ts
+++ b/packages/decisions/__tests__/commit-order.spec.ts
@@ -18,10 +18,10 @@
 	};
 }
 
-describe('Order of commits', () => {
+describe('commit order', () => {
 	const lacking = new Map([['a', 3], ['b', 2], ['c', 4]]);
 
-	it('writes groups that become whole before older results of groups that lack others', () => {
+	it('commits groups that become complete before older results of incomplete groups', () => {
 		const waiting = createResults('a', 'c', 'b', 'a', 'b');
 		const planned = planCommit(waiting, lacking, {results: 2, bytes: 1000});
 		expect(planned.map(({group}) => group)).to.deep.equal(['b', 'b']);
@@ -29,12 +29,12 @@
 		expect(planCommit(waiting, lacking, {results: 9, bytes: 1000}).map(({group}) => group)).to.deep.equal(['b', 'b', 'a', 'a', 'c']);
 	});
 
-	it('keeps to the bytes of a transaction, and takes one result however great it is', () => {
+	it('stays within the bytes of a transaction, but takes one result of any size', () => {
 		expect(planCommit(createResults('a', 'a', 'a'), lacking, {results: 9, bytes: 250})).to.have.length(2);
 		expect(planCommit(createResults('a', 'a', 'a'), lacking, {results: 9, bytes: 50})).to.have.length(1);
 	});
 
-	it('lets the list go first that completes a group, then the more urgent one, then the step that is nearly whole, then the oldest', () => {
+	it('prefers a list that completes a group, then the more urgent one, then the step that is closest to completion, then the oldest', () => {
 		const lists = [
 			createList('old'),
 			createList('near', {openGroups: 1, addedAt: 9}),
@@ -51,7 +51,7 @@
 		expect(order).to.deep.equal(['whole', 'urgent', 'near', 'old']);
 	});
 
-	it('gives a quarter of the turns to the oldest, though others always complete groups', () => {
+	it('gives a quarter of the rounds to the oldest list, even if others always complete groups', () => {
 		const lists = [createList('old'), createList('whole', {completes: 1, addedAt: 9})];
 		const names = Array.from({length: 8}, (_, turn) => chooseCommit(lists, turn)!.name);
 		expect(names.filter(name => name === 'old')).to.have.length(2);
--- a/packages/decisions/__tests__/concurrency-limit.spec.ts
+++ b/packages/decisions/__tests__/concurrency-limit.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {ConcurrencyLimit, LaggingLoad} from '../src/index.js';
 
-/** Drives a limit against an endpoint whose latency grows once more than `capacity` run. */
+/** Runs a limit against an endpoint whose latency grows when more than `capacity` requests run. */
 function drive(limit: ConcurrencyLimit, capacity: number, from: number, rounds: number): void {
 	let now = from;
 	for (let i = 0; i < rounds; i++) {
@@ -13,22 +13,22 @@
 }
 
 describe('ConcurrencyLimit', () => {
-	it('grows while latency holds and stops near where requests begin to wait', () => {
+	it('grows while latency is stable and stops near the point where requests begin to wait', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 200, initial: 4});
 		drive(limit, 16, 0, 5000);
 		expect(limit.limit).to.be.within(16, 40);
 	});
 
-	it('lends the slots again when interactive requests stay away', () => {
+	it('lends the reserved slots again without interactive requests', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 8, initial: 8});
 		limit.observeInteractive(4, 0);
 		limit.observeInteractive(0, 60_000);
 		expect(limit.limitFor('rollout', 60_000)).to.equal(4);
-		// Nothing has been observed since.
+		// No observation since.
 		expect(limit.limitFor('rollout', 120_000)).to.equal(7);
 	});
 
-	it('forgets a floor from before the endpoint slowed down', () => {
+	it('replaces a floor from before the endpoint slowed down', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 200, initial: 16});
 		drive(limit, 16, 0, 2000);
 		for (let now = 100_000; now < 200_000; now += 20) {
@@ -38,7 +38,7 @@
 		expect(limit.limit).to.be.at.least(16);
 	});
 
-	it('measures the floor at half the limit, without what started before', () => {
+	it('measures the floor at half the limit, without requests started before', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 16, initial: 16});
 		for (let now = 0; now <= 40_000; now += 50) {
 			limit.record(now < 1000 ? 100 : 160, 16, false, now);
@@ -60,7 +60,7 @@
 		expect(limit.limit).to.equal(16);
 	});
 
-	it('takes the endpoint\'s word for what waits there', () => {
+	it('shrinks when the endpoint reports waiting requests', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 100, initial: 50});
 		limit.record(100, 20, false, 0);
 		limit.recordWaiting(0, 1000);
@@ -69,7 +69,7 @@
 		expect(limit.limit).to.equal(45);
 	});
 
-	it('shrinks on refusals, once for a burst of them', () => {
+	it('shrinks on refusals, once per burst', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 100, initial: 50});
 		limit.record(100, 50, false, 0);
 		const before = limit.limit;
@@ -80,7 +80,7 @@
 		expect(limit.limit).to.be.within(Math.floor(before * 0.89), before - 1);
 	});
 
-	it('does not grow on what was never used', () => {
+	it('does not grow while it is not used', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 100, initial: 10});
 		for (let i = 0; i < 1000; i++) {
 			limit.record(100, 2, false, i);
@@ -89,14 +89,14 @@
 		expect(limit.limit).to.equal(10);
 	});
 
-	it('keeps slots for interactive requests, by what they used lately', () => {
+	it('reserves slots for interactive requests by their recent use', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 8, initial: 8});
 		expect([limit.limitFor('interactive', 0), limit.limitFor('rollout', 0), limit.limitFor('background', 0)]).to.deep.equal([8, 7, 6]);
 		for (let now = 0; now <= 30_000; now += 100) {
 			limit.observeInteractive(now % 200 === 0 ? 4 : 0, now);
 		}
 
-		// Some four at once lately, of which four are in flight at the end.
+		// About four concurrent requests recently, four of them in flight at the end.
 		expect(limit.limitFor('rollout', 30_000)).to.equal(7);
 		limit.observeInteractive(0, 30_100);
 		expect(limit.limitFor('rollout', 30_100)).to.be.within(4, 5);
@@ -104,7 +104,7 @@
 });
 
 describe('LaggingLoad', () => {
-	it('adds what was sent since the report was measured', () => {
+	it('adds the requests sent since the report was measured', () => {
 		const load = new LaggingLoad();
 		load.recordSent(100);
 		load.receive({load: 5, measuredAt: 150});
@@ -117,7 +117,7 @@
 		expect(load.load).to.equal(9);
 	});
 
-	it('ignores a report that was overtaken, and never counts less than its own', () => {
+	it('ignores an outdated report, and never counts less than its own requests', () => {
 		const load = new LaggingLoad();
 		load.receive({load: 3, measuredAt: 200});
 		load.receive({load: 50, measuredAt: 100});
@@ -128,13 +128,13 @@
 		expect(load.load).to.equal(2);
 	});
 
-	it('believes a report the less, the more of what it showed has ended since', () => {
+	it('trusts a report less, the more of its requests have ended since', () => {
 		const load = new LaggingLoad();
 		load.recordSent(0);
 		load.receive({load: 11, measuredAt: 100});
 		expect(load.estimate(100, 200)).to.equal(11);
 		expect(load.estimate(300, 200)).to.be.within(4, 5.5);
-		// After a long time only its own and what others usually have there.
+		// After a long time only its own requests and the mean of others count.
 		expect(load.estimate(10_000, 200)).to.be.within(1, 2);
 		for (let at = 200; at <= 20_000; at += 100) {
 			load.receive({load: 11, measuredAt: at});
--- a/packages/decisions/__tests__/crash-evidence.spec.ts
+++ b/packages/decisions/__tests__/crash-evidence.spec.ts
@@ -2,7 +2,7 @@
 import {CrashEvidence} from '../src/index.js';
 
 describe('CrashEvidence', () => {
-	it('takes what broke for in flight at a crash only once the endpoint is seen down, and only if that is soon', () => {
+	it('counts failed requests as in flight at a crash only if the endpoint is found to be down soon after', () => {
 		const evidence = new CrashEvidence();
 		evidence.noteBroken('e', 'a', 0);
 		evidence.noteBroken('e', 'b', 5000);
--- a/packages/decisions/__tests__/direct-choice.spec.ts
+++ b/packages/decisions/__tests__/direct-choice.spec.ts
@@ -9,9 +9,9 @@
 }
 
 /**
- * Replays texts of heavy-tailed lengths that begin at once over endpoints of which one is slow for good.
+ * Replays generations of heavy-tailed lengths that begin together on endpoints of which one is permanently slow.
  *
- * @returns when the last but a tenth has ended, in milliseconds
+ * @returns time at which nine tenths have ended, in milliseconds
  */
 function replay(seed: number, choose: (candidates: DirectCandidate[]) => string): number {
 	const random = new Random(seed);
@@ -33,7 +33,7 @@
 }
 
 describe('chooseDirect', () => {
-	it('prefers the fast of two idle endpoints, and equals by chance', () => {
+	it('prefers the faster of two idle endpoints, and chooses randomly among equal ones', () => {
 		const candidates = [createCandidate('slow', {paceMs: 60}), createCandidate('fast')];
 		expect(chooseDirect(candidates, 0)!.id).to.equal('fast');
 		const equals = [createCandidate('a'), createCandidate('b')];
@@ -45,21 +45,21 @@
 		expect(chooseDirect([createCandidate('slow', {paceMs: 52}), createCandidate('fast', {open: 12})], 0)!.id).to.equal('slow');
 	});
 
-	it('counts what other processes have there', () => {
+	it('counts the requests of other processes', () => {
 		expect(chooseDirect([createCandidate('a', {others: 8}), createCandidate('b', {open: 5})], 0)!.id).to.equal('b');
 	});
 
-	it('uses an open connection rather than a new one, if all else is equal', () => {
+	it('prefers an open connection among otherwise equal endpoints', () => {
 		const candidates = [createCandidate('a'), createCandidate('b', {isConnected: true})];
 		expect(chooseDirect(candidates, 0)!.id).to.equal('b');
 		expect(chooseDirect([createCandidate('a'), createCandidate('b', {isConnected: true, open: 3})], 0)!.id).to.equal('a');
 	});
 
-	it('gives nothing without candidates', () => {
+	it('returns nothing without candidates', () => {
 		expect(chooseDirect([], 0)).to.equal(undefined);
 	});
 
-	it('ends a step earlier than by the fewest open requests while one endpoint is slow', () => {
+	it('ends a step earlier than the choice of the fewest open requests while one endpoint is slow', () => {
 		const random = new Random(3);
 		const seeds = Array.from({length: 20}, (_, i) => i + 1);
 		const byLoad = seeds.map(seed => replay(seed, candidates => candidates.toSorted((a, b) => a.open - b.open)[0]!.id));
@@ -72,18 +72,18 @@
 describe('listBetter', () => {
 	const fast = createCandidate('fast');
 
-	it('leaves an endpoint that is much slower than another with room', () => {
+	it('leaves an endpoint that is much slower than another with free capacity', () => {
 		expect(listBetter(createCandidate('slow', {paceMs: 130}), [fast], false)).to.have.length(1);
 		expect(listBetter(createCandidate('slow', {paceMs: 130}), [createCandidate('full', {open: 8})], false)).to.deep.equal([]);
 	});
 
-	it('leaves one that is a third slower only with a long run', () => {
+	it('leaves an endpoint that is a third slower only with a long run', () => {
 		const slower = createCandidate('slower', {paceMs: 52});
 		expect(listBetter(slower, [fast], false)).to.deep.equal([]);
 		expect(listBetter(slower, [fast], true)).to.have.length(1);
 	});
 
-	it('stays while nothing was measured', () => {
+	it('stays without measurements', () => {
 		expect(listBetter(createCandidate('new', {paceMs: undefined}), [fast], true)).to.deep.equal([]);
 		expect(listBetter(createCandidate('slow', {paceMs: 130}), [createCandidate('new', {paceMs: undefined})], true)).to.deep.equal([]);
 	});
--- a/packages/decisions/__tests__/ejection.spec.ts
+++ b/packages/decisions/__tests__/ejection.spec.ts
@@ -17,7 +17,7 @@
 	return ejection;
 }
 
-/** Requests until an endpoint is out of use, at most 200. */
+/** Returns the number of requests until an endpoint is ejected, at most 200. */
 function countUntilEjected(ejection: Ejection, endpoint: string, evidence: () => {hasFailed: boolean; slowness: number}): number {
 	for (let i = 1; i <= 200; i++) {
 		if (ejection.record(endpoint, evidence(), 1000)) {
@@ -28,7 +28,7 @@
 	return Number.POSITIVE_INFINITY;
 }
 
-/** Milliseconds until a healed endpoint is in use again; probes take 100 ms. */
+/** Returns the milliseconds until a recovered endpoint is in use again; probes take 100 ms. */
 function timeUntilBack(ejection: Ejection, endpoint: string, from: number): number {
 	for (let now = from; now < from + 60_000; now += 100) {
 		if (!ejection.isEjected(endpoint)) {
@@ -44,7 +44,7 @@
 }
 
 describe('Ejection', () => {
-	it('ejects an endpoint ten times slower within a few requests', () => {
+	it('ejects an endpoint that is ten times slower within a few requests', () => {
 		expect(countUntilEjected(createPool(), 'a', () => ({hasFailed: false, slowness: 10}))).to.be.at.most(3);
 	});
 
@@ -53,12 +53,12 @@
 		expect(countUntilEjected(createPool(), 'a', () => ({hasFailed: random.next() < 0.5, slowness: 1}))).to.be.at.most(15);
 	});
 
-	it('leaves alone one that fails one call in fifty', () => {
+	it('does not eject an endpoint that fails one call in fifty', () => {
 		const random = new Random(3);
 		expect(countUntilEjected(createPool(), 'a', () => ({hasFailed: random.next() < 0.02, slowness: 1}))).to.equal(Number.POSITIVE_INFINITY);
 	});
 
-	it('does not take apart a pool that is slow as a whole', () => {
+	it('does not eject endpoints of a pool that is slow as a whole', () => {
 		const ejection = createPool();
 		for (let i = 0; i < 200; i++) {
 			ejection.record(pool[i % 6]!, {hasFailed: false, slowness: 2.5 + (i * 0.01)}, 1000);
@@ -67,7 +67,7 @@
 		expect(ejection.ejectedCount).to.equal(0);
 	});
 
-	it('never ejects more than a third, nor a single one', () => {
+	it('never ejects more than a third, nor the only endpoint', () => {
 		const ejection = createPool();
 		for (const endpoint of pool) {
 			countUntilEjected(ejection, endpoint, () => ({hasFailed: true, slowness: 1}));
@@ -79,7 +79,7 @@
 		expect(countUntilEjected(single, 'only', () => ({hasFailed: true, slowness: 1}))).to.equal(Number.POSITIVE_INFINITY);
 	});
 
-	it('is back in use within ten seconds of healing, also after a minute of failed probes', () => {
+	it('restores an endpoint within ten seconds of its recovery, even after a minute of failed probes', () => {
 		const ejection = createPool();
 		countUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
 		for (let now = 1000; now < 61_000; now += 100) {
@@ -91,7 +91,7 @@
 		expect(timeUntilBack(ejection, 'a', 61_000)).to.be.at.most(10_000);
 	});
 
-	it('needs good probes in a row', () => {
+	it('requires consecutive successful probes', () => {
 		const ejection = createPool();
 		countUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
 		for (let i = 0; i < 40; i++) {
--- a/packages/decisions/__tests__/event-loop-lag.spec.ts
+++ b/packages/decisions/__tests__/event-loop-lag.spec.ts
@@ -2,7 +2,7 @@
 import {Lateness} from '../src/index.js';
 
 describe('Lateness', () => {
-	it('is late while ticks are late, and no longer once six were in time', () => {
+	it('is high while ticks are late, and no longer after six punctual ones', () => {
 		const lateness = new Lateness();
 		expect(lateness.isLate).to.equal(false);
 		lateness.record(40);
@@ -14,7 +14,7 @@
 		expect(lateness.isLate).to.equal(false);
 	});
 
-	it('tells what is usual: one pause in ten ticks counts for nothing, two do', () => {
+	it('reports the 90th percentile: one pause in ten ticks is ignored, two are not', () => {
 		const lateness = new Lateness();
 		expect(lateness.usualMs).to.equal(0);
 		for (let i = 0; i < 20; i += 1) {
--- a/packages/decisions/__tests__/expected-headroom.spec.ts
+++ b/packages/decisions/__tests__/expected-headroom.spec.ts
@@ -8,22 +8,22 @@
 }
 
 describe('isRoomExpected', () => {
-	it('lets one request more than slots be open, so that none is idle for a round trip', () => {
+	it('allows one open request more than slots, so that none is idle for a round trip', () => {
 		expect([4, 5].map(open => isRoomExpected(createRoom({open})))).to.deep.equal([true, false]);
 	});
 
-	it('believes what was told of others for the time in which they end', () => {
+	it('trusts the reported requests of others until they have probably ended', () => {
 		const rooms = [0, 19, 20].map(ageMs => createRoom({open: 1, others: 5, ageMs}));
 		expect(rooms.map(room => isRoomExpected(room))).to.deep.equal([false, false, true]);
 	});
 
-	it('does not forget what this process itself has open', () => {
+	it('always counts the open requests of this process', () => {
 		expect(isRoomExpected(createRoom({open: 5, ageMs: 1000}))).to.equal(false);
 	});
 });
 
 describe('findSlowPace', () => {
-	it('is above what sound endpoints differ by, and unknown until some were measured', () => {
+	it('exceeds the difference between healthy endpoints, and is unknown until some were measured', () => {
 		expect(findSlowPace([undefined, 30, 25, 75])).to.be.within(40, 74);
 		expect(findSlowPace([undefined])).to.equal(undefined);
 	});
--- a/packages/decisions/__tests__/fair-queue.spec.ts
+++ b/packages/decisions/__tests__/fair-queue.spec.ts
@@ -19,7 +19,7 @@
 	}
 }
 
-/** Work of each caller, or class, among the next jobs. */
+/** Returns the work of each caller, or class, among the next jobs. */
 function serve(queue: FairQueue<Ticket>, count: number, key: 'caller' | 'class' | 'priority'): Record<string, number> {
 	const work: Record<string, number> = {};
 	for (let i = 0; i < count; i++) {
@@ -31,7 +31,7 @@
 }
 
 describe('FairQueue', () => {
-	it('gives callers equal work whatever they have waiting', () => {
+	it('gives callers equal work, however long their backlog', () => {
 		const queue = new FairQueue<Ticket>();
 		pushMany(queue, 2000, {caller: 'hot'});
 		pushMany(queue, 100, {caller: 'cold'});
@@ -53,14 +53,14 @@
 		expect(serve(queue, 400, 'caller')).to.deep.equal({three: 300, one: 100});
 	});
 
-	it('gives each step of priority twice the weight, so that none starves', () => {
+	it('doubles the weight with each priority level, so that none starves', () => {
 		const queue = new FairQueue<Ticket>();
 		pushMany(queue, 400, {priority: 6});
 		pushMany(queue, 400, {priority: 5});
 		expect(serve(queue, 300, 'priority')).to.deep.equal({6: 200, 5: 100});
 	});
 
-	it('owes the less urgent classes their floor of the work', () => {
+	it('gives the less urgent classes their minimum part of the work', () => {
 		const queue = new FairQueue<Ticket>();
 		pushMany(queue, 2000, {class: 'interactive'});
 		pushMany(queue, 2000, {class: 'rollout'});
@@ -70,7 +70,7 @@
 		expect(work.background).to.be.within(40, 55);
 	});
 
-	it('saves up no floor for a class that does not wait', () => {
+	it('accrues no credit for a class without waiting jobs', () => {
 		const queue = new FairQueue<Ticket>();
 		pushMany(queue, 2000, {class: 'interactive'});
 		serve(queue, 1000, 'class');
@@ -78,18 +78,18 @@
 		expect(serve(queue, 20, 'class').rollout).to.be.within(1, 2);
 	});
 
-	it('lends an idle share and takes it back at the next pop', () => {
+	it('lends an idle share and reclaims it at the next pop', () => {
 		const queue = new FairQueue<Ticket>();
 		pushMany(queue, 1000, {caller: 'busy'});
 		serve(queue, 500, 'caller');
 		pushMany(queue, 100, {caller: 'back'});
-		// At once its half and no more: the idle time was lent, not saved up.
+		// It gets its half immediately and no more: the idle time was lent, not accrued.
 		expect(serve(queue, 100, 'caller')).to.deep.equal({busy: 50, back: 50});
 		pushMany(queue, 1, {class: 'interactive', caller: 'urgent'});
 		expect(queue.pop()!.caller).to.equal('urgent');
 	});
 
-	it('keeps a caller that comes and goes to its share', () => {
+	it('limits a caller that leaves and returns to its share', () => {
 		const queue = new FairQueue<Ticket>();
 		pushMany(queue, 100, {caller: 'steady', cost: 1});
 		pushMany(queue, 1, {caller: 'flicker', cost: 10});
@@ -105,7 +105,7 @@
 		expect(flicker).to.be.within(30, 50);
 	});
 
-	it('refuses a job beyond its caller\'s bound, and lets others in', () => {
+	it('refuses a job beyond its caller\'s bound, and accepts those of others', () => {
 		const queue = new FairQueue<Ticket>({count: 2, work: 100});
 		pushMany(queue, 2, {caller: 'hot'});
 		const third = createTicket({caller: 'hot'});
@@ -115,7 +115,7 @@
 		expect(queue.size).to.equal(3);
 	});
 
-	it('doesn\'t charge a caller for a job taken out unserved', () => {
+	it('doesn\'t charge a caller for a job that was removed unserved', () => {
 		const queue = new FairQueue<Ticket>();
 		const dear = createTicket({caller: 'a', cost: 1000});
 		queue.push(dear, dear);
@@ -126,7 +126,7 @@
 		expect(serve(queue, 10, 'caller')).to.deep.equal({a: 5, b: 5});
 	});
 
-	it('returns each job once and keeps count and work, in any order of operations', () => {
+	it('returns each job once and keeps count and work correct, in any order of operations', () => {
 		const operation = fc.record({
 			kind: fc.constantFrom('push', 'push', 'pop', 'remove'),
 			class: fc.constantFrom<PriorityClass>('interactive', 'rollout', 'background'),
--- a/packages/decisions/__tests__/load-timing.spec.ts
+++ b/packages/decisions/__tests__/load-timing.spec.ts
@@ -12,9 +12,9 @@
 }
 
 /**
- * Replays one step on eight endpoints that load four at a time; an endpoint that loads begins nothing.
+ * Replays one step on eight endpoints, of which four load at the same time; an endpoint that loads starts nothing.
  *
- * @returns when its last text begins and when the last endpoint has loaded, in milliseconds
+ * @returns times at which its last generation begins and the last endpoint has loaded, in milliseconds
  */
 function replay(texts: number, decide: (occasion: PublishedVersion) => boolean): {begunMs: number; loadedMs: number} {
 	const endpoints = Array.from({length: 8}, () => ({loadsUntil: 0, isNew: false, ends: Array.from({length: slotsEach}, () => 0)}));
@@ -47,12 +47,12 @@
 }
 
 describe('shouldLoad', () => {
-	it('leaves the step that follows a publication the time to come', () => {
+	it('leaves time for the step that follows a publication to arrive', () => {
 		expect(shouldLoad(createOccasion({sinceMs: 250}), 300)).to.equal(false);
 		expect(shouldLoad(createOccasion({sinceMs: 300}), 300)).to.equal(true);
 	});
 
-	it('waits for texts that have not begun, as long as all loads end before the next publication', () => {
+	it('waits for generations that have not started, as long as all loads end before the next publication', () => {
 		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 900, intervalMs: 3500}), 300)).to.equal(false);
 		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 1000, intervalMs: 3500}), 300)).to.equal(true);
 		expect(shouldLoad(createOccasion({
@@ -60,17 +60,17 @@
 		}), 300)).to.equal(false);
 	});
 
-	it('waits no longer than a load takes, however rarely versions come', () => {
+	it('waits no longer than a load takes, however rarely versions are published', () => {
 		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 1250, intervalMs: 20_000}), 300)).to.equal(false);
 		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 1300, intervalMs: 20_000}), 300)).to.equal(true);
 	});
 
-	it('does not wait where nobody tells what waits, or how often versions come', () => {
+	it('does not wait without information on waiting generations or the publication interval', () => {
 		expect(shouldLoad(createOccasion({waiting: undefined}), 300)).to.equal(true);
 		expect(shouldLoad(createOccasion({waiting: 20, intervalMs: undefined}), 300)).to.equal(true);
 	});
 
-	it('has all texts of a step begun earlier than at a fixed time, and all endpoints loaded before the next publication', () => {
+	it('starts all generations of a step earlier than loads at a fixed time, and loads all endpoints before the next publication', () => {
 		const fixed = replay(96, ({sinceMs}) => sinceMs >= 300);
 		const timed = replay(96, occasion => shouldLoad(occasion, 300));
 		expect(timed.begunMs).to.be.at.most(fixed.begunMs - 300);
--- a/packages/decisions/__tests__/model-assignment.spec.ts
+++ b/packages/decisions/__tests__/model-assignment.spec.ts
@@ -19,7 +19,7 @@
 	return counts;
 }
 
-/** What the endpoints hold once they have followed their places for some versions. */
+/** Returns the versions that the endpoints hold after they have followed their assignments for some versions. */
 function follow(holders: readonly ModelEndpoint[], placed: ReadonlyMap<string, readonly string[]>, published: Record<string, number>): ModelEndpoint[] {
 	return holders.map(({id, versions, paceMs}) => {
 		const [model] = placed.get(id)!;
@@ -27,15 +27,15 @@
 	});
 }
 
-/** Needs of three trainers: short texts, and two with long ones and over twice the work. */
+/** Demand of three trainers: one with short generations, two with long ones and over twice the work. */
 const needs: Record<string, ModelNeed> = {
 	a: {work: 31_000, longest: 4000}, b: {work: 75_000, longest: 10_500}, c: {work: 77_000, longest: 10_400},
 };
 
 /**
- * Replays one step of each trainer over its model's endpoints; texts have heavy-tailed lengths, and an endpoint is slower the more it runs.
+ * Replays one step of each trainer on its model's endpoints; generations have heavy-tailed lengths, and an endpoint is slower the more it runs.
  *
- * @returns when nine tenths of the groups of the last step are whole, in milliseconds
+ * @returns time at which nine tenths of the groups of the last step are complete, in milliseconds
  */
 function replay(seed: number, placed: ReadonlyMap<string, readonly string[]>, speeds: Readonly<Record<string, number>>): number {
 	const random = new Random(seed);
@@ -56,20 +56,20 @@
 describe('placeModels', () => {
 	const fresh = Array.from({length: 6}, (_, i) => createHolder(`e${i}`, {a: 1, b: 1, c: 1}));
 
-	it('lets each endpoint follow one model, evenly while nothing is known of what they need', () => {
+	it('assigns one model to each endpoint, evenly while the demand is unknown', () => {
 		const placed = place(fresh);
 		expect(countPlaces(placed)).to.deep.equal({a: 2, b: 2, c: 2});
 		expect([...placed.values()].every(models => models.length === 1)).to.equal(true);
 	});
 
-	it('shares the endpoints by the work of the steps', () => {
+	it('divides the endpoints by the work of the steps', () => {
 		const counts = countPlaces(place(fresh, {}, needs));
 		expect(counts.a).to.equal(1);
 		expect(counts).to.satisfy(({b, c}: Record<string, number>) => b! + c! === 5 && Math.abs(b! - c!) === 1);
 		expect(countPlaces(place(fresh.slice(0, 5), {}, needs))).to.deep.equal({a: 1, b: 2, c: 2});
 	});
 
-	it('keeps an endpoint with the model that it has followed, whichever trainer publishes more often', () => {
+	it('keeps the model of an endpoint, whichever trainer publishes more often', () => {
 		const holders = [
 			createHolder('e0', {a: 1, b: 4}), createHolder('e1', {a: 40, b: 1}), createHolder('e2', {a: 1, b: 3}), createHolder('e3', {a: 39, b: 2}),
 		];
@@ -77,7 +77,7 @@
 		expect(holders.flatMap(({id}) => placed.get(id)!)).to.deep.equal(['b', 'a', 'b', 'a']);
 	});
 
-	it('does not swing between two models of nearly the same work', () => {
+	it('does not oscillate between two models of nearly the same work', () => {
 		const published = {a: 9, b: 5, c: 6};
 		const first = place(fresh, published, needs);
 		let holders = follow(fresh, first, published);
@@ -90,14 +90,14 @@
 		}
 	});
 
-	it('gives an endpoint away once another model lacks clearly more', () => {
+	it('reassigns an endpoint once another model has a clearly larger shortage', () => {
 		const published = {a: 9, b: 5, c: 6};
 		const holders = follow(fresh, place(fresh, published), published);
 		const counts = countPlaces(place(holders, {a: 10, b: 6, c: 7}, needs));
 		expect(counts.a).to.equal(1);
 	});
 
-	it('changes a slow endpoint of a model with long texts for a fast one of a model with short texts', () => {
+	it('swaps a slow endpoint of a model with long generations for a fast one of a model with short generations', () => {
 		const published = {a: 2, b: 2, c: 2};
 		const speeds: Record<string, number> = {};
 		const holders = fresh.map(({id, versions}, i) => {
@@ -110,7 +110,7 @@
 		expect(place(follow(holders, placed, published), published, needs)).to.deep.equal(placed);
 	});
 
-	it('deals the fast endpoints among all models with long texts, and leaves them where they are when paces are measured anew', () => {
+	it('divides the fast endpoints among all models with long generations, and keeps them when paces are measured again', () => {
 		const models = ['a', 'b', 'c', 'd'];
 		const published = Object.fromEntries(models.map(model => [model, 1]));
 		const unlike: Record<string, ModelNeed> = {
@@ -128,14 +128,14 @@
 		})).to.deep.equal(placed);
 	});
 
-	it('ends with a place for every endpoint, whatever needs are told', () => {
+	it('assigns every endpoint, whatever demand is reported', () => {
 		for (const works of [[100, -100], [1e308, 1e308], [Number.NaN, 1], [0, 0]]) {
 			const odd: Record<string, ModelNeed> = {a: {work: works[0]!, longest: 1}, b: {work: works[1]!, longest: -1}};
 			expect(place(fresh, {}, odd).size).to.equal(6);
 		}
 	});
 
-	it('keeps the places that were given though no endpoint shows yet which model it follows', () => {
+	it('keeps the last assignments even if no endpoint shows yet which model it follows', () => {
 		const last = new Map(fresh.map(({id}, i) => [id, ['a', 'b', 'c'][i % 3]!]));
 		const placed = placeModels({
 			holders: fresh, published: new Map([['a', 2], ['b', 1], ['c', 1]]), needs: new Map(), last,
@@ -143,31 +143,31 @@
 		expect(fresh.map(({id}) => placed.get(id)![0])).to.deep.equal(['a', 'b', 'c', 'a', 'b', 'c']);
 	});
 
-	it('leaves endpoints alone that are slower only for what they have to do', () => {
+	it('keeps endpoints that are slower only because of their load', () => {
 		const published = {a: 2, b: 2, c: 2};
 		const placed = place(fresh, published, needs);
 		const holders = follow(fresh, placed, published).map((holder, i) => ({...holder, paceMs: i % 2 === 0 ? 42 : 36}));
 		expect(place(holders, {a: 3, b: 3, c: 3}, needs)).to.deep.equal(placed);
 	});
 
-	it('shares evenly, or not at all, where the policy says so', () => {
+	it('divides evenly, or not at all, according to the policy', () => {
 		const input = {holders: fresh, published: new Map<string, number>(), needs: new Map(Object.entries(needs))};
 		expect(countPlaces(placeModels(input, 'even'))).to.deep.equal({a: 2, b: 2, c: 2});
 		expect(countPlaces(placeModels(input, 'all-models'))).to.deep.equal({a: 6, b: 6, c: 6});
 	});
 
-	it('gives every model a place when endpoints are lost', () => {
+	it('assigns an endpoint to every model when endpoints are lost', () => {
 		const placed = place(fresh.slice(0, 3), {}, needs);
 		expect([...placed.values()].flat().toSorted()).to.deep.equal(['a', 'b', 'c']);
 		expect([...place(fresh.slice(0, 2)).values()].every(models => models.length === 3)).to.equal(true);
 		expect(countPlaces(place(fresh, {}, {b: {work: 5, longest: 5}}))).to.deep.equal({a: 1, b: 4, c: 1});
 	});
 
-	it('lets every endpoint follow the only model', () => {
+	it('assigns every endpoint to the only model', () => {
 		expect([...place([createHolder('x', {a: 2}), createHolder('y', {a: 1})]).values()]).to.deep.equal([['a'], ['a']]);
 	});
 
-	it('has the last of three unlike steps whole earlier than with even shares, on endpoints of which two are slower', () => {
+	it('completes the last of three unequal steps earlier than with even shares, on endpoints of which two are slower', () => {
 		const speeds = Object.fromEntries(fresh.map(({id}, i) => [id, i % 3 === 2 ? 1.3 : 1]));
 		const holders = fresh.map(holder => ({...holder, paceMs: 36 * speeds[holder.id]!}));
 		const seeds = Array.from({length: 30}, (_, i) => i + 1);
--- a/packages/decisions/__tests__/pace.spec.ts
+++ b/packages/decisions/__tests__/pace.spec.ts
@@ -21,7 +21,7 @@
 		}
 	}
 
-	it('does not take a sound endpoint for a slow one because single events differ by half', () => {
+	it('does not mistake a healthy endpoint for a slow one because single events differ by half', () => {
 		const random = new Random(3);
 		const paces = [new Pace(), new Pace()];
 		const create = (pace: Pace, id: string) => ({
@@ -41,14 +41,14 @@
 		expect(moves).to.be.below(10);
 	});
 
-	it('tells a slow endpoint within twenty events', () => {
+	it('detects a slow endpoint within twenty events', () => {
 		const pace = new Pace();
 		record(pace, Array.from({length: 100}, () => 38));
 		record(pace, Array.from({length: 20}, () => 120));
 		expect(pace.unitMs).to.be.above(38 * 1.8);
 	});
 
-	it('knows nothing before some events, and after a time without any', () => {
+	it('is unknown before some events, and after a time without any', () => {
 		const pace = new Pace();
 		record(pace, [38, 38]);
 		expect(pace.unitMs).to.equal(undefined);
--- a/packages/decisions/__tests__/placement.spec.ts
+++ b/packages/decisions/__tests__/placement.spec.ts
@@ -19,13 +19,13 @@
 		expect(changes.map(({from, to}) => `${from}${to}`)).to.deep.equal(['ab', 'ab']);
 	});
 
-	it('changes nothing for a gain that does not pay for it', () => {
+	it('changes nothing for a gain below its cost', () => {
 		const holders = createHolders('aaaabb');
 		expect(planPlacement(holders, [createDemand('a', 3.6), createDemand('b', 2.4)], {costMs}, 0)).to.deep.equal([]);
 		expect(planPlacement(holders, [createDemand('a', 2), createDemand('b', 4)], {costMs: () => 60_000}, 0)).to.deep.equal([]);
 	});
 
-	it('leaves an endpoint in place after a change, and changes few at once', () => {
+	it('does not change an endpoint again soon, and changes few at the same time', () => {
 		const demands = [createDemand('a', 0), createDemand('b', 6)];
 		expect(planPlacement(createHolders('aaaaaa', -60_000), demands, {costMs}, 0)).to.deep.equal([]);
 		expect(planPlacement(createHolders('aaaaaa'), demands, {costMs}, 0)).to.have.lengthOf(2);
@@ -33,14 +33,14 @@
 		expect(planPlacement(changing, demands, {costMs}, 0)).to.deep.equal([]);
 	});
 
-	it('keeps interactive callers\' floor whatever rollouts ask', () => {
+	it('keeps the endpoints that interactive callers need, whatever the demand of rollouts', () => {
 		const changes = planPlacement(createHolders('aab'), [createDemand('a', 1, 1), createDemand('b', 9)], {costMs, maxChanging: 3}, 0);
 		expect(changes).to.deep.equal([]);
 		const needed = planPlacement(createHolders('bbb'), [createDemand('a', 0.1, 0.1), createDemand('b', 9)], {costMs}, 0);
 		expect(needed.map(({to}) => to)).to.deep.equal(['a']);
 	});
 
-	it('does not thrash when three trainers\' demand comes and goes by turns', () => {
+	it('does not thrash when three trainers\' demand alternates', () => {
 		let holders = createHolders('aabbcc');
 		const history = new DemandHistory();
 		let changed = 0;
@@ -58,7 +58,7 @@
 			});
 		}
 
-		// At the most one change an endpoint in ten minutes, though demand moved 180 times.
+		// At most one change per endpoint in ten minutes, although demand shifted 180 times.
 		expect(changed).to.be.at.most(36);
 	});
 });
--- a/packages/decisions/__tests__/poison.spec.ts
+++ b/packages/decisions/__tests__/poison.spec.ts
@@ -9,7 +9,7 @@
 }
 
 describe('PoisonGuard', () => {
-	it('isolates what was in flight at a crash and clears what finishes', () => {
+	it('isolates requests in flight at a crash and clears those that finish', () => {
 		const guard = new PoisonGuard();
 		guard.recordCrash(createCrash('a', 'poison', 'innocent'), 0);
 		expect(guard.judge('innocent', 1)).to.deep.equal({kind: 'isolate', avoid: ['a']});
@@ -19,7 +19,7 @@
 		expect(guard.judge('bystander', 1)).to.deep.equal({kind: 'free'});
 	});
 
-	it('does not send a suspect back to where it was', () => {
+	it('does not send a suspect back to the endpoint that crashed', () => {
 		for (const avoided of endpoints) {
 			expect(chooseIsolation('poison', endpoints, [avoided])).not.to.equal(avoided);
 		}
@@ -37,7 +37,7 @@
 		expect(guard.judge('poison', 700_000)).to.deep.equal({kind: 'quarantined', retryAfterMs: 1_200_000});
 	});
 
-	it('counts one crash once, however often it is heard of', () => {
+	it('counts a crash once, however often it is received', () => {
 		const [one, other] = [new PoisonGuard(), new PoisonGuard()];
 		one.recordCrash(createCrash('a', 'poison'), 0);
 		one.recordCrash(createCrash('a', 'poison'), 10);
@@ -47,7 +47,7 @@
 		expect([one.judge('poison', 50).kind, other.judge('poison', 5000).kind]).to.deep.equal(['isolate', 'isolate']);
 	});
 
-	it('keeps an innocent cleared when older news of the crash arrives', () => {
+	it('keeps a request cleared when an older record of the crash arrives', () => {
 		const [one, other] = [new PoisonGuard(), new PoisonGuard()];
 		one.recordCrash(createCrash('a', 'innocent'), 0);
 		const old = one.list(0);
@@ -57,7 +57,7 @@
 		expect(other.judge('innocent', 3)).to.deep.equal({kind: 'free'});
 	});
 
-	it('adds up crashes that different entries saw', () => {
+	it('adds up crashes observed by different entries', () => {
 		const [one, other] = [new PoisonGuard(), new PoisonGuard()];
 		one.recordCrash(createCrash('a', 'poison'), 0);
 		other.recordCrash(createCrash('b', 'poison'), 0);
@@ -73,8 +73,8 @@
 });
 
 /**
- * Three entries hear of crashes one round late; the caller sends again through all of them each round.
- * Suspects meet at one endpoint, whose agent runs one of them at a time and tells the others of its crash.
+ * Three entries receive crash records one round late; the caller retries through all of them each round.
+ * Suspects meet at one endpoint, whose agent runs one of them at a time and reports its crash to the others.
  */
 function countFallen(seed: number): number {
 	const random = new Random(seed);
--- a/packages/decisions/__tests__/regenerations.spec.ts
+++ b/packages/decisions/__tests__/regenerations.spec.ts
@@ -8,12 +8,12 @@
 }
 
 describe('chooseRenewals', () => {
-	it('begins long texts of older weights a second time, the longest first', () => {
+	it('regenerates long generations of older weights, longest first', () => {
 		const texts = [createText(), createText({id: 'b', events: 150}), createText({id: 'c', events: 20})];
 		expect(chooseRenewals(texts, 2)).to.deep.equal(['b', 'a']);
 	});
 
-	it('leaves texts that the newest weights have made, and those that were begun a second time', () => {
+	it('leaves out generations of the newest weights and those already regenerated', () => {
 		expect(chooseRenewals([createText({oldestVersion: 2}), createText({isRenewed: true})], 2)).to.deep.equal([]);
 	});
 });
--- a/packages/decisions/__tests__/retries.spec.ts
+++ b/packages/decisions/__tests__/retries.spec.ts
@@ -15,23 +15,23 @@
 }
 
 describe('decideRetry', () => {
-	it('repeats only what is idempotent or proven not run', () => {
+	it('retries only requests that are idempotent or proven not to have run', () => {
 		expect(decide({isIdempotent: false})).to.deep.equal({kind: 'give-up', reason: 'may-have-run'});
 		expect(decide({isIdempotent: false, ran: 'yes'}).kind).to.equal('give-up');
 		expect(decide({isIdempotent: false, ran: 'no'}).kind).to.equal('retry');
 		expect(decide({}).kind).to.equal('retry');
 	});
 
-	it('never goes past the deadline', () => {
+	it('never exceeds the deadline', () => {
 		expect(decide({deadlineAt: 90})).to.deep.equal({kind: 'give-up', reason: 'deadline-too-near'});
 	});
 
-	it('stops at its attempts', () => {
+	it('stops at the maximum number of attempts', () => {
 		expect(decide({attempts: 3})).to.deep.equal({kind: 'give-up', reason: 'attempts-spent'});
 		expect(decide({isRefusal: true, ran: 'no', refusals: 4})).to.deep.equal({kind: 'give-up', reason: 'attempts-spent'});
 	});
 
-	it('spreads the delays by chance', () => {
+	it('randomizes the delays', () => {
 		const random = new Random(1);
 		const budget = new RetryBudget();
 		const delays = Array.from({length: 3}, () => {
@@ -42,7 +42,7 @@
 		expect(Math.max(...delays)).to.be.below(100);
 	});
 
-	it('keeps retries to a tenth of a caller\'s first tries, through a full outage', () => {
+	it('limits retries to a tenth of a caller\'s first attempts during a full outage', () => {
 		const budget = new RetryBudget();
 		let retries = 0;
 		for (let i = 0; i < 1000; i++) {
@@ -55,10 +55,10 @@
 		expect(decide({caller: 'cold'}, budget).kind).to.equal('retry');
 	});
 
-	it('sends a refused request on without its caller\'s budget', () => {
+	it('reroutes a refused request without using its caller\'s budget', () => {
 		const budget = new RetryBudget();
 		while (budget.tryTake('a')) {
-			// Spends it.
+			// Spends the budget.
 		}
 
 		expect(decide({isRefusal: true, ran: 'no', refusals: 1}, budget)).to.deep.equal({kind: 'retry', delayMs: 0});
@@ -86,13 +86,13 @@
 		expect(hedging.tryTake(slow, 0.5, 200)).to.equal(true);
 	});
 
-	it('never hedges what may not run twice, or runs twice already', () => {
+	it('never hedges a request that may not run twice, or already runs twice', () => {
 		const hedging = createHedging();
 		expect(hedging.tryTake({...slow, isAllowed: false}, 0, 200)).to.equal(false);
 		expect(hedging.tryTake({...slow, isHedged: true}, 0, 200)).to.equal(false);
 	});
 
-	it('hedges a small part of requests', () => {
+	it('hedges a small fraction of requests', () => {
 		const hedging = createHedging();
 		let hedges = 0;
 		for (let i = 0; i < 1000; i++) {
--- a/packages/decisions/__tests__/retry-after-plan.spec.ts
+++ b/packages/decisions/__tests__/retry-after-plan.spec.ts
@@ -5,9 +5,9 @@
 const workMs = 100;
 
 /**
- * Replays a burst of callers at endpoints of two slots each; a caller that is refused comes back when it was told to.
+ * Replays a burst of callers at endpoints of two slots each; a refused caller returns after its retry-after time.
  *
- * @returns attempts in all and the time by which all are served
+ * @returns total number of attempts and the time by which all are served
  */
 async function replay(clock: Clock, callers: number, tell: (rooms: EndpointRoom[]) => number): Promise<{attempts: number; servedMs: number}> {
 	const endpoints = [{running: 0}, {running: 0}];
@@ -53,7 +53,7 @@
 		clock.uninstall();
 	});
 
-	it('serves a burst with less than half of the attempts that one time for all takes, and not later', async () => {
+	it('serves a burst with less than half of the attempts of a common retry-after time, and not later', async () => {
 		const plan = new ReturnPlan();
 		const planned = await replay(clock, 40, rooms => plan.plan(rooms));
 		const constant = await replay(clock, 40, () => 100);
@@ -61,7 +61,7 @@
 		expect(planned.servedMs).to.be.at.most(constant.servedMs * 1.1);
 	});
 
-	it('tells a caller the time until a slot is free, from what waits and how long requests take', () => {
+	it('returns the time until a slot is free, from the waiting requests and their duration', () => {
 		const room = {
 			slots: 4, running: 4, waiting: 7, workMs: 50,
 		};
@@ -69,7 +69,7 @@
 		expect(new ReturnPlan().plan([room, {...room, waiting: 0}])).to.equal(20);
 	});
 
-	it('never tells more than callers will wait, and something where nothing is known', () => {
+	it('never exceeds the time that callers will wait, and has a default while nothing is known', () => {
 		expect(new ReturnPlan().plan([{
 			slots: 1, running: 1, waiting: 900, workMs: 300,
 		}])).to.equal(2000);
@@ -79,7 +79,7 @@
 		}])).to.equal(50);
 	});
 
-	it('begins anew once those that were refused have returned', async () => {
+	it('starts again once the refused callers have returned', async () => {
 		const plan = new ReturnPlan();
 		const room = {
 			slots: 1, running: 1, waiting: 0, workMs: 100,
--- a/packages/decisions/__tests__/routing.spec.ts
+++ b/packages/decisions/__tests__/routing.spec.ts
@@ -22,7 +22,7 @@
 }
 
 describe('chooseEndpoint', () => {
-	it('sends in proportion to speed when loads are counted as they are sent', () => {
+	it('sends in proportion to speed when requests are counted as they are sent', () => {
 		const candidates = [createCandidate('fast', {serviceMs: 50}), createCandidate('slow', {serviceMs: 100})];
 		const random = new Random(1);
 		for (let i = 0; i < 12; i++) {
@@ -32,12 +32,12 @@
 		expect(candidates[0]!.load).to.be.within(7, 9);
 	});
 
-	it('does not send a herd to the least loaded of many', () => {
+	it('does not overload the least loaded of many endpoints', () => {
 		const candidates = Array.from({length: 64}, (_, i) => createCandidate(`e${i}`, {load: i === 0 ? 0 : 4}));
 		expect(countChoices(candidates).e0).to.be.within(20, 90);
 	});
 
-	it('drops leaving and ejected endpoints at once', () => {
+	it('excludes leaving and ejected endpoints immediately', () => {
 		const candidates = [createCandidate('a', {isLeaving: true}), createCandidate('b', {isEjected: true}), createCandidate('c', {load: 100})];
 		expect(countChoices(candidates)).to.deep.equal({c: 1000});
 		expect(chooseEndpoint(candidates.slice(0, 2), new Random(1))).to.equal(undefined);
@@ -49,12 +49,12 @@
 		expect(countChoices([createCandidate('a', {load: 8, cached: 0.9}), ...others]).a ?? 0).to.equal(0);
 	});
 
-	it('takes the least loaded of several that cache it', () => {
+	it('chooses the least loaded of several that cache it', () => {
 		const candidates = ['a', 'b', 'c'].map((id, i) => createCandidate(id, {load: 3 - i, cached: 0.5}));
 		expect(countChoices([...candidates, createCandidate('d', {load: 1})])).to.deep.equal({c: 1000});
 	});
 
-	it('goes to another data centre only when the near ones cost more than the way', () => {
+	it('chooses another data centre only when the local endpoints cost more than the distance', () => {
 		const far = createCandidate('far', {dataCentre: 'muroran'});
 		const options = {dataCentre: 'tomakomai', spilloverMs: 25};
 		expect(countChoices([createCandidate('near', {dataCentre: 'tomakomai', load: 1}), far], options)).to.deep.equal({near: 1000});
@@ -65,13 +65,13 @@
 describe('PrefixIndex', () => {
 	const blocks = splitPrefix('x'.repeat(1024));
 
-	it('names prefixes by all that is before them', () => {
+	it('identifies prefixes by all preceding blocks', () => {
 		expect(blocks).to.have.lengthOf(4);
 		expect(splitPrefix(`${'x'.repeat(512)}${'y'.repeat(512)}`).slice(0, 2)).to.deep.equal(blocks.slice(0, 2));
 		expect(splitPrefix(`y${'x'.repeat(1023)}`)[3]).not.to.equal(blocks[3]);
 	});
 
-	it('knows what was sent, and unlearns what was removed', () => {
+	it('records sent prefixes, and drops removed ones', () => {
 		const index = new PrefixIndex();
 		index.recordSent('a', blocks, 0);
 		expect(index.match('a', blocks)).to.equal(1);
@@ -82,7 +82,7 @@
 		expect(index.match('b', blocks)).to.equal(0);
 	});
 
-	it('doubts what it knew before a gap, and trusts again what is used after', () => {
+	it('distrusts blocks from before a gap, and trusts those used after it', () => {
 		const index = new PrefixIndex();
 		index.recordSent('a', blocks, 0);
 		index.receive({
@@ -96,7 +96,7 @@
 		expect(index.match('a', blocks)).to.equal(1);
 	});
 
-	it('drops an event that was overtaken', () => {
+	it('ignores an event that arrives after a later one', () => {
 		const index = new PrefixIndex();
 		index.receive({
 			endpoint: 'a', sequence: 2, kind: 'stored', blocks,
@@ -107,11 +107,11 @@
 		expect(index.match('a', blocks)).to.equal(1);
 	});
 
-	it('is bounded, forgetting what was used longest ago, and the longest prefix first', () => {
+	it('is bounded, evicting the least recently used, longest prefix first', () => {
 		const index = new PrefixIndex(4);
 		index.recordSent('a', blocks, 0);
 		index.recordSent('a', ['other'], 1);
-		// The longest prefix goes first: what is left can still be used.
+		// The longest prefix is evicted first: the remaining ones can still be used.
 		expect(index.match('a', blocks)).to.equal(0.75);
 		expect(index.match('a', ['other'])).to.equal(1);
 		index.recordSent('a', ['p', 'q', 'r', 's'], 2);
--- a/packages/decisions/__tests__/sample-order.spec.ts
+++ b/packages/decisions/__tests__/sample-order.spec.ts
@@ -8,7 +8,7 @@
 	};
 }
 
-/** Runs samples in an order over slots; returns when the wanted number of groups is whole, in events. */
+/** Runs samples in an order on slots; returns the time at which the wanted number of groups is complete, in events. */
 function replay(samples: readonly OrderedSample[], order: readonly string[], wanted: number, slots: number): number {
 	const lengths = new Map(samples.map(({id, expectedTokens}) => [id, expectedTokens]));
 	const groups = new Map(samples.map(({id, group}) => [id, group]));
@@ -25,7 +25,7 @@
 }
 
 describe('planBatchOrder', () => {
-	it('begins carried groups first, then long ones, and last those that are not waited for', () => {
+	it('starts carried-over groups first, then long ones, and last those that are not waited for', () => {
 		const samples = [
 			createSample('a', 'short', 10), createSample('b', 'long', 90), createSample('c', 'middle', 50), createSample('d', 'carried', 20, true),
 		];
@@ -38,7 +38,7 @@
 		expect(planBatchOrder(samples, 5).toSorted()).to.deep.equal(samples.map(({id}) => id).toSorted());
 	});
 
-	it('has the wanted groups whole earlier than the order of submission, with few slots', () => {
+	it('completes the wanted groups earlier than the order of submission, with few slots', () => {
 		let gain = 0;
 		for (let seed = 1; seed <= 20; seed += 1) {
 			const random = new Random(seed);
--- a/packages/decisions/__tests__/speed-model.spec.ts
+++ b/packages/decisions/__tests__/speed-model.spec.ts
@@ -22,14 +22,14 @@
 		}
 	}
 
-	it('knows the class between two steps, when nothing was measured for seconds', () => {
+	it('knows the persistent speed between two steps, when nothing was measured for seconds', () => {
 		recordUnits(26);
 		model.recordRun(26);
 		clock.tick(4000);
 		expect(model.expectedMs).to.equal(26);
 	});
 
-	it('tells a spell of some seconds from the class, and forgets it after', () => {
+	it('distinguishes episodic slowness of some seconds from the persistent speed, and drops it afterwards', () => {
 		model.recordRun(26);
 		recordUnits(78);
 		model.recordRun(78);
@@ -38,7 +38,7 @@
 		expect(model.expectedMs).to.equal(26);
 	});
 
-	it('lets what an endpoint tells of the present fade within a second', () => {
+	it('fades a reported transient slowdown within a second', () => {
 		model.guessClass(40);
 		model.recordMoment(2.5);
 		expect(model.expectedMs).to.equal(100);
@@ -48,7 +48,7 @@
 		expect(model.expectedMs).to.equal(40);
 	});
 
-	it('forgets a wrong guess, whether too fast or too slow', () => {
+	it('drops a wrong assumption, whether too fast or too slow', () => {
 		model.guessClass(20);
 		model.recordRun(56);
 		expect(model.persistentMs).to.equal(20);
--- a/packages/decisions/__tests__/staleness.spec.ts
+++ b/packages/decisions/__tests__/staleness.spec.ts
@@ -12,46 +12,46 @@
 }
 
 describe('judgeDispatch', () => {
-	it('starts what will be fresh enough when it is done', () => {
+	it('starts work that will be fresh enough when it is done', () => {
 		expect(judgeDispatch({versions: 0}, forecast, createDraft(), 0)).to.equal('start');
 		expect(judgeDispatch({versions: 1}, forecast, createDraft({finishAt: 150_000}), 60_000)).to.equal('start');
 	});
 
-	it('waits with what a version in between would make stale', () => {
+	it('delays work that a version in between would make stale', () => {
 		expect(judgeDispatch({versions: 0}, forecast, createDraft({finishAt: 120_000}), 60_000)).to.equal('wait');
 	});
 
-	it('waits for the swap of an endpoint that is behind', () => {
+	it('waits for the swap of an endpoint with older weights', () => {
 		expect(judgeDispatch({versions: 0}, forecast, createDraft({engineVersion: 9}), 0)).to.equal('wait');
 	});
 
-	it('starts work for the next step only as far ahead as the bound', () => {
+	it('starts work for later steps only within the bound', () => {
 		expect(judgeDispatch({versions: 0}, forecast, createDraft({stepsAhead: 1}), 0)).to.equal('wait');
 		expect(judgeDispatch({versions: 1}, forecast, createDraft({stepsAhead: 1}), 0)).to.equal('start');
 		expect(judgeDispatch({versions: 1}, forecast, createDraft({stepsAhead: 2}), 0)).to.equal('wait');
 	});
 
-	it('does not wait for ever with what can never be in time', () => {
+	it('does not wait forever with work that can never be in time', () => {
 		expect(judgeDispatch({versions: 0}, forecast, createDraft({finishAt: 300_000}), 60_000)).to.equal('start');
 	});
 });
 
 describe('isStale', () => {
-	it('judges by versions and by seconds since a newer one', () => {
+	it('considers versions and seconds since a newer one', () => {
 		expect(isStale({versions: 1}, {oldestVersion: 9}, 10, 0)).to.equal(false);
 		expect(isStale({versions: 1}, {oldestVersion: 8}, 10, 0)).to.equal(true);
 		expect(isStale({versions: 9, seconds: 60}, {oldestVersion: 9, supersededAt: 0}, 10, 60_000)).to.equal(false);
 		expect(isStale({versions: 9, seconds: 60}, {oldestVersion: 9, supersededAt: 0}, 10, 60_001)).to.equal(true);
 	});
 
-	it('cancels what has become stale for its step', () => {
+	it('cancels a sample that has become stale for its step', () => {
 		expect(shouldCancel({versions: 1}, {oldestVersion: 9}, {current: 10, stepsAhead: 0}, 0)).to.equal(false);
 		expect(shouldCancel({versions: 1}, {oldestVersion: 9}, {current: 10, stepsAhead: 1}, 0)).to.equal(true);
 	});
 });
 
 describe('observeVersion', () => {
-	it('learns the usual interval and never goes back', () => {
+	it('measures the usual interval and never goes back', () => {
 		let seen = observeVersion(undefined, 3, 0);
 		seen = observeVersion(seen, 4, 100);
 		seen = observeVersion(seen, 6, 500);
--- a/packages/decisions/__tests__/step-order.spec.ts
+++ b/packages/decisions/__tests__/step-order.spec.ts
@@ -10,12 +10,12 @@
 }
 
 describe('orderSamples', () => {
-	it('starts groups whole, longest first', () => {
+	it('starts whole groups, longest first', () => {
 		const ordered = orderSamples([...createGroup(1, 100), ...createGroup(2, 900), ...createGroup(3, 400)]);
 		expect(ordered.map(({group}) => group)).to.deep.equal([2, 2, 2, 3, 3, 3, 1, 1, 1]);
 	});
 
-	it('starts redrawn samples first, then one of each group of which nothing is known', () => {
+	it('starts redrawn samples first, then one of each group of unknown length', () => {
 		const redrawn = {
 			group: 9, index: 4, predictedTokens: 1, isRedrawn: true,
 		};
@@ -27,19 +27,19 @@
 describe('chooseSample', () => {
 	const ordered = orderSamples([...createGroup(1, 100), ...createGroup(2, 900), ...createGroup(3, 400)]);
 
-	it('gives an endpoint the longest sample that it likely finishes in time', () => {
+	it('gives an endpoint the longest sample that it is likely to finish in time', () => {
 		expect(chooseSample(ordered, 0.1, 20_000)?.group).to.equal(2);
 		expect(chooseSample(ordered, 0.05, 20_000)?.group).to.equal(3);
 	});
 
-	it('gives it the shortest when none would finish, and none when there is none', () => {
+	it('gives it the shortest sample when none would finish, and nothing without samples', () => {
 		expect(chooseSample(ordered, 0.01, 1000)?.group).to.equal(1);
 		expect(chooseSample([], 1, 1000)).to.equal(undefined);
 	});
 });
 
 describe('LengthPrediction', () => {
-	it('tells long prompts from short ones by their samples', () => {
+	it('distinguishes long prompts from short ones by their samples', () => {
 		const prediction = new LengthPrediction();
 		expect(prediction.predict('k', 'long', 8000)).to.equal(4000);
 		for (let i = 0; i < 4; i++) {
@@ -53,7 +53,7 @@
 		expect(prediction.predict('k', 'long', 1000)).to.equal(1000);
 	});
 
-	it('expects the siblings of a long running sample to be long, until it is known', () => {
+	it('expects samples of the same prompt as a long running one to be long, until its length is known', () => {
 		const prediction = new LengthPrediction();
 		prediction.record('k', 'other', 100);
 		prediction.recordProgress('k', 'running', 2000);
@@ -63,7 +63,7 @@
 		expect(prediction.predict('k', 'running', 8000)).to.be.within(1500, 2100);
 	});
 
-	it('expects more of what has already run long', () => {
+	it('expects more remaining tokens of a sample that is already long', () => {
 		const prediction = new LengthPrediction();
 		for (let i = 1; i <= 100; i++) {
 			prediction.record('k', `p${i}`, i < 90 ? 100 : 2000);
@@ -91,12 +91,12 @@
 		expect(planCopies(stragglers, idle, 0.5, true)).to.deep.equal([]);
 	});
 
-	it('copies earlier what would outlast the step where it runs', () => {
+	it('copies earlier a sample that would outlast the step where it runs', () => {
 		const stragglers = [createStraggler('short', {remainingTokens: 500, stepLeftMs: 8000}), createStraggler('long', {stepLeftMs: 8000})];
 		expect(planCopies(stragglers, idle, 0.5, true)).to.deep.equal([{sample: 'long', to: 'fast'}]);
 	});
 
-	it('makes no copy that would not finish clearly earlier, and no third', () => {
+	it('makes no copy that would not finish clearly earlier, and no second copy', () => {
 		const straggler = createStraggler('a', {speed: 0.6});
 		expect(planCopies([straggler], idle, 0.95, false)).to.deep.equal([]);
 		expect(planCopies([straggler], idle, 0.95, true)).to.have.lengthOf(1);
@@ -111,7 +111,7 @@
 		};
 	}
 
-	it('gives each step the rate that it needs by its deadline, and the rest by share', () => {
+	it('gives each step the rate that it needs for its deadline, and divides the rest by share', () => {
 		const slots = divideSlots([
 			createNeed('late', {remainingTokens: 60_000}),
 			createNeed('early', {remainingTokens: 20_000, share: 3}),
@@ -120,7 +120,7 @@
 		expect(slots.get('early')).to.equal(50);
 	});
 
-	it('shares a lack of slots by need', () => {
+	it('divides scarce slots by demand', () => {
 		const slots = divideSlots([createNeed('a', {remainingTokens: 90_000}), createNeed('b', {remainingTokens: 30_000})], 40, 0.01, 0);
 		expect([slots.get('a'), slots.get('b')]).to.deep.equal([30, 10]);
 	});
--- a/packages/decisions/__tests__/subsetting.spec.ts
+++ b/packages/decisions/__tests__/subsetting.spec.ts
@@ -14,7 +14,7 @@
 	return [...counts.values()];
 }
 
-/** Pairs of the first that the second lacks. */
+/** Returns the pairs of the first assignment that are missing in the second. */
 function countMoved(before: Map<string, string[]>, after: Map<string, string[]>): number {
 	let moved = 0;
 	for (const [entry, subset] of before) {
@@ -26,7 +26,7 @@
 }
 
 describe('assignSubsets', () => {
-	// A data centre of the size to design for: 1,700 entries and 10,000 endpoints in 19.
+	// A data centre of the design size: 1,700 entries and 10,000 endpoints in 19 data centres.
 	const entries = createNames('entry', 90);
 	const endpoints = createNames('endpoint', 526);
 	const subsets = assignSubsets(entries, endpoints);
@@ -39,7 +39,7 @@
 		expect(Math.min(...counts)).to.be.at.least(Math.floor(mean / 1.25));
 	});
 
-	it('moves little when an endpoint leaves or an entry comes', () => {
+	it('reassigns few pairs when an endpoint leaves or an entry joins', () => {
 		const withoutOne = assignSubsets(entries, endpoints.slice(1));
 		const own = countByEndpoint(subsets, endpoints)[0]!;
 		expect(countMoved(subsets, withoutOne)).to.be.at.most(3 * own);
@@ -47,7 +47,7 @@
 		expect(countMoved(subsets, withOneMore)).to.be.at.most(2 * 64);
 	});
 
-	it('has no size at which one host more moves all', () => {
+	it('has no size at which one more host reassigns everything', () => {
 		const few = createNames('entry', 20);
 		let last = assignSubsets(few, createNames('endpoint', 150), {degree: 16});
 		for (let size = 151; size <= 250; size++) {
@@ -57,11 +57,11 @@
 		}
 	});
 
-	it('is the same in any order of the names', () => {
+	it('does not depend on the order of the names', () => {
 		expect(findSubset('entry7', entries.toReversed(), endpoints.toReversed())).to.deep.equal(subsets.get('entry7'));
 	});
 
-	it('gives each entry all of a small pool', () => {
+	it('gives each entry all endpoints of a small pool', () => {
 		const small = assignSubsets(createNames('entry', 3), createNames('endpoint', 6));
 		expect([...small.values()].map(({length}) => length)).to.deep.equal([6, 6, 6]);
 	});
--- a/packages/decisions/__tests__/uneven-endpoints.spec.ts
+++ b/packages/decisions/__tests__/uneven-endpoints.spec.ts
@@ -11,7 +11,7 @@
 const slots = 6;
 const dueMs = 3750;
 
-describe('texts on endpoints of two speeds', () => {
+describe('generations on endpoints of two speeds', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -22,7 +22,7 @@
 		clock.uninstall();
 	});
 
-	/** Lengths as a trainer's: a mean of 20 events, few of over 100; hints right at the median and off by a factor of two. */
+	/** Lengths like those of a trainer: a mean of 20 events, few over 100; hints are right at the median and off by a factor of two. */
 	function createTexts(random: Random, count: number): Text[] {
 		return Array.from({length: count}, () => {
 			const length = Math.min(152, Math.ceil(5 / (Math.max(0.001, random.next()) ** 0.75)));
@@ -104,14 +104,14 @@
 
 	const uneven = [26, 26, 56, 56, 56, 56, 56, 56, 56, 56];
 
-	it('ends a step in two thirds of the time by its longest texts at the fast ones, with moves of fewer than a tenth of its texts', () => {
+	it('ends a step in two thirds of the time by running its longest generations on the fast endpoints, and moves fewer than a tenth of its generations', () => {
 		const before = average(10, seed => replay(seed, uneven, {isPlanned: false}));
 		const after = average(10, seed => replay(seed, uneven, {isPlanned: true}));
 		expect(after.endMs).to.be.below(0.67 * before.endMs);
 		expect(after.moves).to.be.below(0.1);
 	});
 
-	it('saves the long texts of an endpoint that turns three times slower for six seconds, and leaves the short ones', () => {
+	it('moves the long generations of an endpoint that is three times slower for six seconds, and leaves the short ones', () => {
 		const paces = uneven.map(() => 40);
 		const findUnitMs = (endpoint: number, ms: number) => endpoint === 0 && ms >= 300 && ms < 6300 ? 120 : 40;
 		const before = average(10, seed => replay(seed, paces, {isPlanned: false, findUnitMs}));
@@ -120,13 +120,13 @@
 		expect(after.moves).to.be.below(0.1);
 	});
 
-	it('never moves a text in its first five events, unless its endpoint has turned slow', () => {
+	it('never moves a generation in its first five events, unless its endpoint has become slow', () => {
 		const text = {madeHere: 3, unitsLeft: 100, dueInMs: 2000};
 		expect([1, 3].map(spell => isAtRisk(text, {classMs: 56, spell, transientFactor: 1}))).to.deep.equal([false, true]);
 		expect(isAtRisk({...text, madeHere: 5}, {classMs: 56, spell: 1, transientFactor: 1})).to.equal(true);
 	});
 
-	it('stays at an endpoint that is merely full, where an idle one is of the same class', () => {
+	it('stays at an endpoint that is merely full if an idle one has the same persistent speed', () => {
 		const text = {madeHere: 20, unitsLeft: 100, dueInMs: 2000};
 		expect(gainsBy(text, {classMs: 56, spell: 1, transientFactor: 1}, {classMs: 26, spell: 2, transientFactor: 1})).to.equal(true);
 		expect([2, 2.5].map(spell => gainsBy(text, {classMs: 56, spell, transientFactor: 1}, {classMs: 56, spell: 1, transientFactor: 1}))).to.deep.equal([false, true]);
@@ -134,7 +134,7 @@
 });
 
 describe('TextLengths', () => {
-	it('expects a text that has come far to go on, and more of one with a longer hint', () => {
+	it('expects a long generation to continue, and more so with a longer hint', () => {
 		const lengths = new TextLengths();
 		for (const events of [5, 8, 10, 12, 14, 16, 20, 60, 120]) {
 			lengths.record('t', undefined, events);
@@ -146,7 +146,7 @@
 		expect(lengths.expectLeft('t', 2, 0)).to.equal(2 * 265 / 9);
 	});
 
-	it('goes by what a text has made while it knows no others', () => {
+	it('uses the events made so far while it knows no other generations', () => {
 		expect([0, 40].map(made => new TextLengths().expectLeft('t', undefined, made))).to.deep.equal([undefined, 20]);
 	});
 });
--- a/packages/decisions/__tests__/weight-waves.spec.ts
+++ b/packages/decisions/__tests__/weight-waves.spec.ts
@@ -4,7 +4,7 @@
 	failReplica, planWave, storeSource, type Replica, type WaveLimits,
 } from '../src/index.js';
 
-/** The stated model: times of a fetch and of a swap in milliseconds, and how often a swap fails. */
+/** The model: durations of a fetch and of a swap in milliseconds, and the failure rate of swaps. */
 const fetchMs = 2000;
 const swapMs = 500;
 
@@ -53,7 +53,7 @@
 }
 
 describe('planWave', () => {
-	it('reaches a data centre of 526 endpoints within 17 s, failed swaps included, with headroom and the store\'s rate kept', () => {
+	it('updates a data centre of 526 endpoints within 17 s including failed swaps, within the headroom and the store\'s rate', () => {
 		const outcome = roll(526, {storeStreams: 8, peerStreams: 2, interactiveEndpoints: 300}, 0.02);
 		expect(outcome.failures).to.be.above(0);
 		expect(outcome.doneMs).to.be.at.most(17_000);
@@ -61,13 +61,13 @@
 		expect(outcome.mostStoreStreams).to.be.at.most(8);
 	});
 
-	it('reaches a small pool without peers, one endpoint at a time if interactive callers need the rest', () => {
+	it('updates a small pool without peers, one endpoint at a time if interactive callers need the rest', () => {
 		const outcome = roll(6, {storeStreams: 2, peerStreams: 0, interactiveEndpoints: 4}, 0);
 		expect(outcome.mostOut).to.equal(1);
 		expect(outcome.doneMs).to.be.at.most(17_000);
 	});
 
-	it('tries a failed one again from another source, after the others', () => {
+	it('retries a failed endpoint from another source, after the others', () => {
 		const replicas: Replica[] = [
 			failReplica({
 				id: 'failed', state: 'swapping', failures: 0, source: 'peer',
@@ -77,11 +77,11 @@
 		];
 		const limits = {storeStreams: 1, peerStreams: 1, interactiveEndpoints: 0};
 		expect(planWave(replicas, limits, 100).fetches).to.deep.equal([{id: 'fresh', source: 'peer'}]);
-		// The peer could serve both.
+		// The peer has capacity for both.
 		expect(planWave(replicas, {...limits, peerStreams: 2}, 600).fetches).to.deep.equal([{id: 'fresh', source: 'peer'}, {id: 'failed', source: storeSource}]);
 	});
 
-	it('gives up on one that fails again and again', () => {
+	it('gives up on an endpoint that fails repeatedly', () => {
 		const replicas: Replica[] = [{id: 'bad', state: 'old', failures: 5}];
 		expect(planWave(replicas, {storeStreams: 1, peerStreams: 0, interactiveEndpoints: 0}, 1e6).fetches).to.deep.equal([]);
 	});
--- a/packages/decisions/src/attempt-backoff.ts
+++ b/packages/decisions/src/attempt-backoff.ts
@@ -1,17 +1,16 @@
 /**
- * When an endpoint that refuses or is silent is asked again.
+ * Delays further attempts at an endpoint that refuses or does not answer.
  *
- * Load pattern: engines refuse everything of a model for about a second while they load its new weights, and only the process that
- * ordered that knows. With all waiting samples sent again after each pause, a third to a half of all attempts met
- * an engine that was loading. After a refusal one attempt is made at a time, and only its success lets the others
- * through; so pauses can be short and the end of the loading is noticed soon. The same holds for an engine that
- * has gone dark: each sample sent there waits for seconds, so one at a time tries.
+ * Load pattern: engines refuse all requests for a model for about a second while they load its new weights, and only the process that ordered the load
+ * knows. With all waiting samples sent again after each pause, a third to a half of all attempts met an engine that was loading. After a refusal only
+ * one attempt is made at a time, and only its success admits the others; so pauses can be short and the end of the load is detected soon. The same
+ * applies to an engine that has stopped answering: each sample sent to it waits for seconds, so only one at a time tries.
  */
 
 /** Shortest and longest pause, in milliseconds. */
 export type BackoffBounds = {firstMs: number; longestMs: number};
 
-/** What an endpoint was found wanting in, and when it may be asked again. */
+/** Exponential backoff of one endpoint for one kind of failure. */
 export class AttemptPause {
 	readonly #bounds: BackoffBounds;
 	#failures = 0;
@@ -27,20 +26,20 @@
 		return performance.now() >= this.#backoffUntil && !this.#hasTrialAttempt;
 	}
 
-	/** Notes that an attempt is made. */
+	/** Records the start of an attempt. */
 	begin(): void {
 		this.#hasTrialAttempt = this.#failures > 0;
 	}
 
-	/** Notes that an attempt has ended, whatever came of it. */
+	/** Records the end of an attempt, whatever its result. */
 	end(): void {
 		this.#hasTrialAttempt = false;
 	}
 
-	/** Notes a refusal, a silence or the like. */
+	/** Records a failure, such as a refusal or a missing answer. */
 	record(): void {
 		this.#hasTrialAttempt = false;
-		// Of those at the same time one counts.
+		// Simultaneous failures count once.
 		if (performance.now() < this.#backoffUntil) {
 			return;
 		}
--- a/packages/decisions/src/best-pace.ts
+++ b/packages/decisions/src/best-pace.ts
@@ -1,26 +1,26 @@
 /**
- * The best pace that an endpoint has shown of late: what its machine can do, whatever it is busy with.
+ * Tracks the best recent pace of an endpoint: what its machine can do, independent of its load.
  *
- * Load pattern: two of six endpoints take a third longer for each event for good, and any of them is three times slower for some seconds now and then.
- * Which model an endpoint follows must depend on the first and not on the second, since each change costs a load of weights.
+ * Load pattern: two of six endpoints permanently take a third longer for each event, and any of them is three times slower for some seconds now and
+ * then. The model that an endpoint follows must depend on the former and not on the latter, since each change costs a load of weights.
  */
 
-/** Time for which a best pace is gathered, in milliseconds; it counts for up to twice as long. Slow spells last five to eight seconds. */
+/** Length of a window in milliseconds; a best pace is valid for up to twice as long. Slow episodes last five to eight seconds. */
 const windowMs = 10_000;
 
-/** The least of the paces of two spans. */
+/** Best pace of the current and the previous window. */
 export class BestPace {
 	#windowStartedAt = Number.NEGATIVE_INFINITY;
 	#currentMs: number | undefined;
 	#previousMs: number | undefined;
 
-	/** Takes in a pace, in milliseconds for a unit of work. */
+	/** Records a pace, in milliseconds per unit of work. */
 	record(unitMs: number): void {
 		this.#advance();
 		this.#currentMs = Math.min(this.#currentMs ?? Number.POSITIVE_INFINITY, unitMs);
 	}
 
-	/** The best pace, in milliseconds for a unit of work; undefined if none was recorded lately. */
+	/** Best pace, in milliseconds per unit of work; undefined without recent records. */
 	get unitMs(): number | undefined {
 		this.#advance();
 		const known = [this.#currentMs, this.#previousMs].filter(value => value !== undefined);
--- a/packages/decisions/src/checkpoint-order.ts
+++ b/packages/decisions/src/checkpoint-order.ts
@@ -1,25 +1,28 @@
 /**
- * Which unfinished texts are written down first for a next owner.
+ * Decides which unfinished generations are checkpointed first, so that a later owner can resume them.
  *
- * Load pattern: a host makes dozens of texts at a time, each some events longer every second, and may write a bounded number of bytes about them.
- * What is lost with a host is made anew; that of a long text holds its step up by its whole length, that of a short one is made while
- * others run on anyway.
+ * Load pattern: a host makes dozens of generations at the same time, each of which grows by some events every second, and may write a bounded number
+ * of bytes for them. What is lost with a host is generated again: a long generation delays its step by its whole length, a short one is done while
+ * others are still running.
  */
 
-/** An unfinished text. */
+/** A generation in progress. */
 export type UnfinishedGeneration = {
 	id: string;
-	/** Events made, and how many of them are written down. */
+	/** Number of events made, and number of those that are in the checkpoint. */
 	events: number;
 	writtenEvents: number;
-	/** Samples of its group that have no written result, itself included. */
+	/** Number of samples of its group without a committed result, including itself. */
 	lacking: number;
 };
 
-/** Events that a text must have grown by to be written again; fewer are made anew in a quarter of a second. */
+/** Minimum number of new events for another checkpoint; fewer are generated again in a quarter of a second. */
 const minNewEvents = 6;
 
-/** Ids of the texts to write, the one first whose loss would hold its step up most: long, much of it unwritten, and few others lacking in its group. */
+/**
+ * Returns the ids of the generations to checkpoint, first those whose loss would delay their step most: long, with many unwritten events, and few other
+ * samples missing in their group.
+ */
 export function orderCheckpoint(texts: readonly UnfinishedGeneration[]): string[] {
 	return texts
 		.filter(({events, writtenEvents}) => events - writtenEvents >= minNewEvents)
--- a/packages/decisions/src/commit-order.ts
+++ b/packages/decisions/src/commit-order.ts
@@ -1,45 +1,45 @@
 /**
- * Which results are written first when more wait than one transaction takes, and which list of them goes first.
+ * Decides which results are committed first when more are waiting than fit into one transaction, and which result list commits next.
  *
- * Load pattern: a store that was silent for seconds answers again while each host holds dozens of whole texts of several steps. A trainer goes on
- * when enough groups are whole, so a result whose group missing others is worth nothing yet, and one list's old results must not hold up
- * those that another step waits for.
+ * Load pattern: a store that did not answer for seconds responds again while each host holds dozens of finished generations of several steps. A trainer
+ * continues when enough groups are complete, so a result of a group that is still incomplete is worth nothing yet, and old results of one list must not
+ * delay those that another step waits for.
  */
 
-/** A result that waits to be written. */
+/** A result that waits to be committed. */
 export type WaitingResult = {
 	id: string;
 	group: string;
 	/** Size of its row, in bytes. */
 	bytes: number;
-	/** When it began to wait, in milliseconds on any steady clock. */
+	/** Start of its wait, in milliseconds on any monotonic clock. */
 	addedAt: number;
 };
 
-/** What one transaction takes. */
+/** Limits of one transaction. */
 export type CommitLimits = {results: number; bytes: number};
 
-/** What a list of results that wait would gain by its next transaction. */
+/** What a result list would gain from its next transaction. */
 export type CommitDemand = {
-	/** Groups that become whole by it. */
+	/** Number of groups that it completes. */
 	completes: number;
-	/** Groups of the list that are not whole after it. */
+	/** Number of groups of the list that are still incomplete afterwards. */
 	openGroups: number;
-	/** Of the route; a lower one is more urgent. */
+	/** Priority of the route; a lower value is more urgent. */
 	priority: number;
-	/** When its oldest result began to wait, in milliseconds. */
+	/** Start of the wait of its oldest result, in milliseconds. */
 	addedAt: number;
 };
 
-/** One turn in so many goes to the list that has waited longest, so that no list waits for ever. */
+/** Every such round goes to the list that has waited longest, so that no list waits forever. */
 const roundsPerOldest = 4;
 
 /**
- * The results of the next transaction: those of groups that become whole by it first, then of groups that lack the fewest, then the oldest.
- * There is at least one if any waits, however great it is.
+ * Returns the results of the next transaction: first those of groups that it completes, then of groups with the fewest missing results, then the oldest.
+ * Returns at least one if any is waiting, whatever its size.
  *
- * @param waiting - the results of each group that wait, the oldest first
- * @param missing - samples of each group that have no written result
+ * @param waiting - waiting results by group, oldest first
+ * @param missing - number of samples without a committed result, by group
  */
 export function planCommit<Result extends WaitingResult>(waiting: ReadonlyMap<string, readonly Result[]>, missing: ReadonlyMap<string, number>, limits: CommitLimits): Result[] {
 	const taken: Result[] = [];
@@ -58,7 +58,7 @@
 	return taken;
 }
 
-/** Groups that become whole by writing some results. */
+/** Returns the number of groups that are completed by writing these results. */
 export function countCompleted(written: readonly WaitingResult[], missing: ReadonlyMap<string, number>): number {
 	const counts = new Map<string, number>();
 	for (const {group} of written) {
@@ -69,9 +69,9 @@
 }
 
 /**
- * The list that writes next; undefined if there is none.
+ * Returns the list that commits next; undefined if there is none.
  *
- * @param round - counts up by one with each choice
+ * @param round - incremented by one with each choice
  */
 export function chooseCommit<List extends {demand: CommitDemand}>(lists: readonly List[], round: number): List | undefined {
 	const compare = round % roundsPerOldest === roundsPerOldest - 1 ? compareByAge : compareByDemand;
--- a/packages/decisions/src/crash-evidence.ts
+++ b/packages/decisions/src/crash-evidence.ts
@@ -1,27 +1,27 @@
 /**
- * Tells a crash of an endpoint from a single request that broke.
+ * Distinguishes a crash of an endpoint from a single failed request.
  *
- * Load pattern: links lose connections and grey endpoints reset a part of their requests, hundreds a minute, while a request that crashes
- * endpoints comes once in a while. A request that broke without an answer is evidence only once its endpoint is seen to be down soon after: it can't be
- * connected to, has started again, or is no longer registered.
+ * Load pattern: links lose connections and partially failing endpoints reset some of their requests, hundreds a minute, while a request that crashes
+ * endpoints is rare. A request that failed without an answer is evidence only if its endpoint is found to be down soon after: it can't be connected to,
+ * has restarted, or is no longer registered.
  */
 import {dropOldest} from '@wasabiusher/shared';
 
-/** How long a broken request waits for its endpoint to be seen down, in milliseconds: a registration that is not renewed vanishes within that. */
+/** Time within which the endpoint of a failed request must be found to be down, in milliseconds: a registration that is not renewed disappears within that time. */
 const evidenceMs = 6000;
 
-/** Most requests remembered for one endpoint, and endpoints; what broke first is forgotten first. */
+/** Maximum number of requests remembered per endpoint, and of endpoints; the oldest are removed first. */
 const maxBroken = 64;
 const maxEndpoints = 1000;
 
 type BrokenRequest = {fingerprint: string; at: number};
 
-/** Requests that broke at endpoints of late. */
+/** Tracks requests that recently failed without an answer. */
 export class CrashEvidence {
-	/** By endpoint. */
+	/** Failed requests by endpoint. */
 	readonly #broken = new Map<string, BrokenRequest[]>();
 
-	/** Notes that a request broke without an answer, and may have run. */
+	/** Records a request that failed without an answer, and may have run. */
 	noteBroken(endpoint: string, fingerprint: string, now: number): void {
 		const broken = this.#broken.get(endpoint) ?? [];
 		broken.push({fingerprint, at: now});
@@ -34,7 +34,7 @@
 		dropOldest(this.#broken, maxEndpoints);
 	}
 
-	/** Notes that an endpoint is down; returns what was in flight when it crashed, once. */
+	/** Records that an endpoint is down; returns the fingerprints of the requests in flight when it crashed, once. */
 	takeDown(endpoint: string, now: number): string[] {
 		const broken = this.#broken.get(endpoint);
 		if (!broken) {
--- a/packages/decisions/src/demand-history.ts
+++ b/packages/decisions/src/demand-history.ts
@@ -1,28 +1,28 @@
 /**
- * Follows the demand of each model, for placement.
+ * Tracks the demand of each model for placement.
  *
- * Load pattern: demand comes in bursts and by turns as well as in lasting moves. Without telling them apart engines
- * load weights for work that is gone when they are ready.
+ * Load pattern: demand comes in bursts and alternations as well as in lasting shifts. Without distinguishing them, engines load weights for work that is
+ * gone when they are ready.
  */
 import {defaultLastsMs, type Demand} from './placement.js';
 
 /**
- * Times in which a measurement mostly replaces those before, in milliseconds. Demand is what both say: a burst
- * shows in the fast one only, a demand that has gone in the slow one only.
+ * Time constants of two moving averages, in milliseconds. Demand is the minimum of both: a burst shows in the fast one only, demand that has ended in
+ * the slow one only.
  */
 const fastTimeConstantMs = 5000;
 const slowTimeConstantMs = 20_000;
 
-/** The same for what is usual, against which a demand is high or low. */
+/** Time constant of the baseline, relative to which demand is high or low, in milliseconds. */
 const baselineTimeConstantMs = 300_000;
 
-/** Endpoints over or under the usual before demand counts as high or low, so that noise ends no run of it. */
+/** Number of endpoints above or below the baseline from which demand counts as high or low, so that noise does not end a period. */
 const runMargin = 0.5;
 
-/** Longest time that demand is expected to last, in milliseconds. */
+/** Maximum expected duration of demand, in milliseconds. */
 const maxLastsMs = 300_000;
 
-/** Weight of the newest run in how long they usually last. */
+/** Weight of the newest period in the mean duration of high and low periods. */
 const runSmoothingWeight = 0.5;
 
 type Trace = {
@@ -32,16 +32,16 @@
 	baseline: number;
 	interactive: number;
 	isHigh: boolean;
-	/** When it became high or low. */
+	/** Start of the present high or low period. */
 	since: number;
 	lastsMs: number;
 };
 
-/** Follows the demand of each model, and for how long it stays high or low. */
+/** Tracks the demand of each model, and how long it stays high or low. */
 export class DemandHistory {
 	readonly #traces = new Map<string, Trace>();
 
-	/** Takes a measurement in endpoints: what is served and what waits. */
+	/** Records a measurement, in endpoints: work that is served and that waits. */
 	record({name, total, interactive}: Demand, now: number): void {
 		const trace = this.#traces.get(name);
 		if (!trace) {
@@ -60,10 +60,10 @@
 		updateRun(trace, now);
 	}
 
-	/** Demand of each model now. */
+	/** Returns the present demand of each model. */
 	list(): Demand[] {
 		return [...this.#traces].map(([name, {at, fast, slow, interactive, since, lastsMs}]) => ({
-			// What has already lasted long will likely go on.
+			// Demand that has already lasted long is likely to continue.
 			name, total: Math.min(fast, slow), peak: Math.max(fast, slow), interactive, lastsMs: Math.min(maxLastsMs, Math.max(lastsMs, at - since)),
 		}));
 	}
--- a/packages/decisions/src/direct-choice.ts
+++ b/packages/decisions/src/direct-choice.ts
@@ -64,18 +64,18 @@
 /** Minimum pace factor where persistent speeds are known; they can differ by any factor. */
 const plannedMinPaceFactor = 0.1;
 
-/** Preference for a dedicated endpoint over a faster one, for texts that finish in time on any endpoint. */
+/** Preference for a dedicated endpoint over a faster one, for generations that finish in time on any endpoint. */
 const shortGenerationDedicatedAllowance = 0.6;
 
-/** Fraction of the time until a text is due; a text that takes longer at a typical endpoint may determine when its step is complete. */
+/** Fraction of the time until a generation is due; a generation that takes longer at a typical endpoint may determine when its step is complete. */
 const decidingFraction = 0.5;
 
 /**
- * Returns the weights for a text: one that may determine when its step is complete goes to the fastest endpoints, even to those filled by other
+ * Returns the weights for a generation: one that may determine when its step is complete goes to the fastest endpoints, even to those filled by other
  * processes; a short one stays on the dedicated endpoints of its host.
  *
  * @param units - expected number of events
- * @param dueInMs - time until the text is due, in milliseconds; undefined if unknown
+ * @param dueInMs - time until the generation is due, in milliseconds; undefined if unknown
  */
 export function findGenerationWeights(units: number, dueInMs: number | undefined, medianPaceMs: number | undefined): ChoiceWeights {
 	const isDeciding = dueInMs === undefined || medianPaceMs === undefined || units * medianPaceMs > decidingFraction * dueInMs;
@@ -101,7 +101,7 @@
 const moveFactor = 1.8;
 
 /**
- * The same for a run that is already long. Lengths are heavy-tailed, so that it will probably continue for as long again, and the longest texts
+ * The same for a run that is already long. Lengths are heavy-tailed, so that it will probably continue for as long again, and the longest generations
  * determine when a step is complete.
  */
 const longRunMoveFactor = 1.2;
@@ -134,7 +134,7 @@
  * Chooses an endpoint.
  *
  * @param chance - a number in [0, 1) that decides between equal endpoints, so that processes don't all choose the same one
- * @param generation - what is expected of a text; undefined for other work
+ * @param generation - what is expected of a generation; undefined for other work
  * @returns undefined if there are no candidates
  */
 export function chooseDirect(candidates: readonly DirectCandidate[], chance: number, generation?: {units: number; dueInMs: number | undefined}): DirectCandidate | undefined {
--- a/packages/decisions/src/endpoint-speed.ts
+++ b/packages/decisions/src/endpoint-speed.ts
@@ -1,13 +1,13 @@
 /**
- * How fast an endpoint works, kept apart by how long each part lasts.
+ * Speed of an endpoint, separated by how long each component lasts.
  */
 
-/** What is known of an endpoint's speed. */
+/** Known speed of an endpoint. */
 export type EndpointSpeed = {
-	/** Time for a unit of work when nothing is wrong with it, in milliseconds: lasts as long as its machine; undefined until known. */
+	/** Persistent time per unit of work without disturbances, in milliseconds: a property of its machine; undefined until known. */
 	classMs: number | undefined;
-	/** Factor by which it is slower over some seconds; 1 as usual. */
+	/** Episodic slowdown factor, over some seconds; normally 1. */
 	spell: number;
-	/** Factor by which it is slower at this moment; 1 as usual, also once what it told is too old. */
+	/** Transient slowdown factor at present; normally 1, also once the endpoint's report is too old. */
 	transientFactor: number;
 };
--- a/packages/decisions/src/event-loop-lag.ts
+++ b/packages/decisions/src/event-loop-lag.ts
@@ -1,28 +1,28 @@
 /**
- * How late a process is with its own work, kept apart from what it waits for.
+ * Measures the event-loop lag of a process, to separate its own delays from those of the endpoints that it waits for.
  *
- * Load pattern: a host of a quarter of a core reads 270 texts. It comes to each of them late and then finds several events at once, so
- * every endpoint seems to stall and to race by turns: runs were moved 750 times in half a minute, each to an endpoint that was no faster,
- * and each move cost more of the time that was lacking. The lateness of a timer tells this apart, since no endpoint has a part in it.
+ * Load pattern: a host with a quarter of a core reads 270 generations. It processes each of them late and then finds several events at once, so that
+ * every endpoint seems to be stalled and fast by turns: runs were moved 750 times in half a minute, each to an endpoint that was no faster, and each
+ * move cost more of the scarce CPU time. The lag of a timer detects this, as endpoints have no influence on it.
  */
 
-/** Ticks that are remembered; with one each 50 ms they reach back over three seconds. */
+/** Number of remembered ticks; with one every 50 ms they cover three seconds. */
 const windowTicks = 60;
 
-/** Ticks that tell of the present: 0.3 s, some events of a text. */
+/** Number of ticks that represent the present: 0.3 s, some events of a generation. */
 const recentTicks = 6;
 
-/** Part of the ticks that are no later than what is told to others: a single pause of the collector says nothing of the load. */
+/** Quantile of the lag that is reported to others: a single garbage-collection pause says nothing about the load. */
 const reportedQuantile = 0.9;
 
-/** Lateness from which the times between events say more of this process than of an endpoint, in milliseconds: a quarter of the usual time between two. */
+/** Lag from which the times between events reflect this process rather than an endpoint, in milliseconds: a quarter of the usual time between two events. */
 const highLagMs = 10;
 
-/** Lateness of one process, from a timer that is due at regular times. */
+/** Event-loop lag of one process, measured with a periodic timer. */
 export class Lateness {
 	readonly #ticks: number[] = [];
 
-	/** Takes in how late a tick was, in milliseconds. */
+	/** Records the lag of a tick, in milliseconds. */
 	record(tickLagMs: number): void {
 		this.#ticks.push(Math.max(0, tickLagMs));
 		if (this.#ticks.length > windowTicks) {
@@ -30,12 +30,12 @@
 		}
 	}
 
-	/** Whether this process is too late at present to judge others by when something of theirs was read. */
+	/** Whether the lag is currently too high to judge endpoints by when their data was read. */
 	get isLate(): boolean {
 		return this.#ticks.slice(-recentTicks).some(tick => tick >= highLagMs);
 	}
 
-	/** How late nine of ten ticks of the last three seconds were at most, in milliseconds; 0 before the first. */
+	/** The 90th percentile of the lag over the last three seconds, in milliseconds; 0 before the first tick. */
 	get usualMs(): number {
 		const sorted = this.#ticks.toSorted((a, b) => a - b);
 		return sorted[Math.ceil(sorted.length * reportedQuantile) - 1] ?? 0;
--- a/packages/decisions/src/fast-endpoint-allocation.ts
+++ b/packages/decisions/src/fast-endpoint-allocation.ts
@@ -1,9 +1,9 @@
 /**
  * Allocates the fast endpoints of a service to its models.
  *
- * Load pattern: a quarter of the endpoints generates an event in half the time, and four trainers have texts that differ in length by ten to one. The
- * longest texts of a step decide when it is complete, and on a slow endpoint one of them takes longer than the step may. A model without fast endpoints
- * is late with every step; one that gets more than its long texts can fill gains nothing from them.
+ * Load pattern: a quarter of the endpoints generates an event in half the time, and four trainers have generations that differ in length by ten to one.
+ * The longest generations of a step decide when it is complete, and on a slow endpoint one of them takes longer than the step may. A model without fast
+ * endpoints is late with every step; one that gets more than its long generations can fill gains nothing from them.
  */
 import {clampWork, type ModelEndpoint, type ModelNeed} from './model-assignment.js';
 
@@ -37,8 +37,8 @@
 }
 
 /**
- * Returns the number of fast endpoints of each model, at most its share: in proportion to its work and to the square of the length of its longest texts,
- * since a text that is twice as long is twice as much work and twice as likely to determine the duration of the step.
+ * Returns the number of fast endpoints of each model, at most its share: in proportion to its work and to the square of the length of its longest
+ * generations, since a generation that is twice as long is twice as much work and twice as likely to determine the duration of the step.
  */
 export function allocateFastEndpoints(models: readonly string[], {fast, shares, demands: needs, heldFast: held}: FastAllocationInput): Map<string, number> {
 	const weights = new Map(models.map(model => {
--- a/packages/decisions/src/generation-lengths.ts
+++ b/packages/decisions/src/generation-lengths.ts
@@ -1,37 +1,38 @@
 /**
- * How many events a text is expected to take still.
+ * Estimates how many more events a generation will take.
  *
- * Load pattern: texts of 20 events on average and of 152 at most; what a trainer says of a length is right at the median and often far off. Which
- * texts decide a step shows only while they are made: one that has 40 events already is expected to go on for as long as those before it that came as far.
+ * Load pattern: generations have 20 events on average and at most 152; a trainer's length hint is right at the median and often far off. Which
+ * generations decide the duration of a step only shows while they are in progress: one that has 40 events already is expected to continue for as long as
+ * earlier ones that reached that length.
  */
 import {dropOldest} from '@wasabiusher/shared';
 
-/** Lengths remembered of each trainer: some steps, few enough to be looked through for each text. */
+/** Maximum number of lengths remembered per trainer: some steps, few enough to scan for each generation. */
 const maxLengths = 128;
 
-/** Lengths before they tell anything. */
+/** Minimum number of lengths for an estimate from them. */
 const minLengths = 8;
 
-/** What is left of a text that is longer than all known, over what it has; a Pareto tail of exponent 3 gives a half. */
+/** Expected remaining length of a generation that is longer than all known ones, over its length so far; a Pareto tail of exponent 3 gives a half. */
 const tailFactor = 0.5;
 
-/** Trainers remembered; the one unused longest is forgotten first. */
+/** Maximum number of remembered trainers; the least recently used is removed first. */
 const maxKinds = 100;
 
-/** Least hint, in tokens: a text has one event at least. */
+/** Minimum hint, in tokens: a generation has at least one event. */
 const minHint = 1;
 
-/** Lengths of one trainer's texts over their hints; `next` is the place of the oldest. */
+/** Lengths of one trainer's generations over their hints; `next` is the index of the oldest. */
 type Kind = {ratios: number[]; next: number};
 
-/** Learns the lengths of texts by kind. */
+/** Tracks the lengths of generations by kind. */
 export class TextLengths {
 	readonly #kinds = new Map<string, Kind>();
 
 	/**
-	 * A text became whole.
+	 * Records the length of a finished generation.
 	 *
-	 * @param kind - whose it was and whether it had a hint; lengths of one kind are comparable
+	 * @param kind - its trainer and whether it had a hint; lengths of one kind are comparable
 	 * @param hint - expected length, in any unit; undefined if none was given
 	 */
 	record(kind: string, hint: number | undefined, events: number): void {
@@ -44,7 +45,7 @@
 	}
 
 	/**
-	 * Events still expected of a text that has made some: the mean excess of those known to be longer.
+	 * Returns the expected number of remaining events of a generation: the mean excess of the known longer ones.
 	 *
 	 * @returns undefined while nothing is known
 	 */
--- a/packages/decisions/src/generation-moves.ts
+++ b/packages/decisions/src/generation-moves.ts
@@ -1,46 +1,47 @@
 /**
- * Whether a text leaves its endpoint in its middle.
+ * Decides whether a generation moves to another endpoint while it is in progress.
  *
- * Load pattern: of a step's 64 to 112 texts few have over 60 events, and those decide when it is whole. On endpoints that differ by a factor of two
- * nearly every text finds a faster one with a free slot a second after the step has begun; if all moved, each would close a connection and few of the moves
- * would end the step earlier.
+ * Load pattern: of a step's 64 to 112 generations few have over 60 events, and those decide when the step is complete. On endpoints that differ by a
+ * factor of two nearly every generation finds a faster one with a free slot a second after the step has begun; if all moved, each would close a
+ * connection and few of the moves would end the step earlier.
  */
 import type {EndpointSpeed} from './endpoint-speed.js';
 
-/** A text that is being made. */
+/** A generation in progress. */
 export type MovableText = {
-	/** Events that it has made at its present endpoint. */
+	/** Number of events made at its present endpoint. */
 	madeHere: number;
-	/** Events that it is expected to need still. */
+	/** Expected number of remaining events. */
 	unitsLeft: number;
-	/** Time until it should be whole, in milliseconds; undefined if nobody told. */
+	/** Time until it is due, in milliseconds; undefined if unknown. */
 	dueInMs: number | undefined;
 };
 
-/** Events at an endpoint before a text leaves it, unless the endpoint has turned slow. */
+/** Minimum number of events at an endpoint before a generation leaves it, unless the endpoint has become slow. */
 const minEventsBeforeMove = 5;
 
-/** Factor of a spell from which an endpoint has turned slow; fast ones take up to twice as long when all of their slots are taken. */
+/** Episodic slowdown from which an endpoint counts as slow; fast ones take up to twice as long when all of their slots are taken. */
 const slowEpisodicFactor = 2.4;
 
-/** Time that a move takes, in milliseconds: the prompt and what was made are read again. */
+/** Cost of a move, in milliseconds: the prompt and the generated text are processed again. */
 const moveMs = 50;
 
-/** Least time that a move must save, in milliseconds: less is within what lengths are off by. */
+/** Minimum time that a move must save, in milliseconds: smaller gains are within the error of the expected length. */
 const minGainMs = 500;
 
-/** How much faster the other endpoint must be, as a factor. */
+/** Minimum factor by which the other endpoint must be faster. */
 const minSpeedup = 1.3;
 
 /**
- * Expected time for a unit over the next seconds, in milliseconds. A moment is over before a text is; and an endpoint that is merely full becomes
- * faster as other texts end, so that a text that left it for an idle one of the same class would have gained nothing.
+ * Returns the expected time per unit over the next seconds, in milliseconds. Transient slowness is ignored, as it ends before the generation does. So is
+ * slowness of an endpoint that is merely full: it becomes faster as other generations end, so that a generation that left it for an idle one of the same
+ * speed would gain nothing.
  */
 function estimateUnitMs({classMs: persistentMs, spell: episodicFactor}: EndpointSpeed): number | undefined {
 	return persistentMs === undefined ? undefined : persistentMs * (episodicFactor < slowEpisodicFactor ? 1 : episodicFactor);
 }
 
-/** Whether a text may be saved by another endpoint; nothing needs to be known of others for that. */
+/** Returns whether a generation could benefit from another endpoint, without knowledge of the others. */
 export function isAtRisk({madeHere, unitsLeft, dueInMs}: MovableText, here: EndpointSpeed): boolean {
 	const unitMs = estimateUnitMs(here);
 	if (unitMs === undefined || (madeHere < minEventsBeforeMove && here.spell < slowEpisodicFactor)) {
@@ -51,7 +52,7 @@
 	return finishMs >= minGainMs && finishMs > (dueInMs ?? 0);
 }
 
-/** Whether a text at risk gains enough by going on elsewhere. */
+/** Returns whether a generation at risk gains enough by continuing at the other endpoint. */
 export function gainsBy({unitsLeft}: MovableText, here: EndpointSpeed, there: EndpointSpeed): boolean {
 	const hereMs = estimateUnitMs(here);
 	const thereMs = estimateUnitMs(there);
--- a/packages/decisions/src/hedging.ts
+++ b/packages/decisions/src/hedging.ts
@@ -1,53 +1,52 @@
 /**
- * Whether a slow request is started a second time elsewhere, the first answer winning.
+ * Decides whether a slow request is hedged: sent a second time to another endpoint, with the first answer used.
  *
- * Load pattern: an endpoint stalls now and then, so that one request in some hundred takes many times as long.
- * Without this those callers wait it out. A hedge doubles the work of a request, so it is only made while
- * there is idle capacity, for a small part of requests, and only where running twice is harmless
- * (Dean and Barroso, 2013).
+ * Load pattern: an endpoint stalls now and then, so that one request in some hundred takes many times as long. Without hedging those callers wait for
+ * the whole stall. A hedge doubles the work of a request, so it is only made while there is idle capacity, for a small fraction of requests, and only
+ * where running twice is harmless (Dean and Barroso, 2013).
  */
 
-/** Part of requests that may be hedged; the delay at the 95th percentile alone would allow as many. */
+/** Maximum fraction of hedged requests; the delay at the 95th percentile alone would allow the same. */
 const hedgeRatio = 0.05;
 
-/** Hedges that may be saved up. */
+/** Maximum number of hedges that can be accrued. */
 const maxSavedHedges = 10;
 
-/** Used part of the capacity above which none is made: the work of a hedge would delay someone's first try. */
+/** Utilization above which no hedge is made: its work would delay the first attempts of others. */
 const maxLoad = 0.7;
 
-/** Requests whose time is remembered to find the delay; a percentile of 95 needs some hundred. */
+/** Number of durations kept to determine the delay; a 95th percentile needs some hundred. */
 const maxTimes = 256;
 
-/** Requests before the delay is known. */
+/** Number of durations between updates of the delay, and before it is first known. */
 const minTimes = 32;
 
-/** The percentile after which a request is slow, as a fraction. */
+/** Percentile, as a fraction, above which a request is slow. */
 const slowFraction = 0.95;
 
-/** What is known of a request that still runs. */
+/** A running request. */
 export type RunningRequest = {
-	/** Its profile allows it: idempotent, and hedging switched on. */
+	/** Whether its profile allows hedging: it is idempotent, and hedging is enabled. */
 	isAllowed: boolean;
 	startedAt: number;
 	deadlineAt: number;
-	/** A second copy already runs. */
+	/** Whether a second copy is already running. */
 	isHedged: boolean;
 };
 
-/** Hedges of one pool. */
+/** Controls the hedges of one pool. */
 export class Hedging {
 	readonly #times: number[] = [];
 	#next = 0;
 	#tokens = maxSavedHedges;
 	#delayMs: number | undefined;
 
-	/** A request was sent for the first time. */
+	/** Records the first attempt of a request. */
 	recordFirstTry(): void {
 		this.#tokens = Math.min(maxSavedHedges, this.#tokens + hedgeRatio);
 	}
 
-	/** A request that was not hedged took so long, in milliseconds. */
+	/** Records the duration of a request that was not hedged, in milliseconds. */
 	recordTime(durationMs: number): void {
 		this.#times[this.#next] = durationMs;
 		this.#next = (this.#next + 1) % maxTimes;
@@ -57,15 +56,15 @@
 		}
 	}
 
-	/** Time after which a request is slow, in milliseconds; undefined until enough is known. */
+	/** Time after which a request is slow, in milliseconds; undefined until enough durations are known. */
 	get delayMs(): number | undefined {
 		return this.#delayMs;
 	}
 
 	/**
-	 * Takes a hedge for a running request; false if none is to be made.
+	 * Takes a hedge for a running request; returns false if none should be made.
 	 *
-	 * @param load - used part of the pool's capacity, from 0
+	 * @param load - utilization of the pool, from 0
 	 */
 	tryTake({isAllowed, startedAt, deadlineAt, isHedged}: RunningRequest, load: number, now: number): boolean {
 		const isSlow = this.#delayMs !== undefined && now - startedAt >= this.#delayMs;
--- a/packages/decisions/src/indexed-heap.ts
+++ b/packages/decisions/src/indexed-heap.ts
@@ -1,12 +1,11 @@
 /**
- * Binary heap whose items know their place in it, so that any of them can be
- * moved or taken out in O(log n).
+ * Binary heap whose items store their index, so that any of them can be moved or removed in O(log n).
  */
 
-/** What an item must have; the heap alone writes it. −1 while it is in no heap. */
+/** Index of an item in its heap, written by the heap only; −1 while it is in none. */
 export type HeapItem = {heapIndex: number};
 
-/** Least item first. */
+/** Heap with the lowest item first. */
 export class IndexedHeap<Item extends HeapItem> {
 	readonly #items: Item[] = [];
 	readonly #isBefore: (a: Item, b: Item) => boolean;
@@ -20,7 +19,7 @@
 		return this.#items.length;
 	}
 
-	/** The least item, left in its place. */
+	/** Lowest item, which stays in the heap. */
 	get first(): Item | undefined {
 		return this.#items[0];
 	}
@@ -41,7 +40,7 @@
 		}
 	}
 
-	/** Puts an item in its place after its key has changed. */
+	/** Restores the order after the key of an item has changed. */
 	update(item: Item): void {
 		this.#moveUp(item);
 		this.#moveDown(item);
--- a/packages/decisions/src/length-prediction.ts
+++ b/packages/decisions/src/length-prediction.ts
@@ -1,25 +1,24 @@
 /**
- * How many tokens a sample will take.
+ * Predicts the number of tokens of a sample.
  *
- * Load pattern: lengths in a step are heavy-tailed, and the few longest decide when it is whole. Without
- * a prediction they start whenever their turn comes, the last of them at the end. Samples of one prompt
- * resemble each other, and a prompt comes back in later steps; both are used.
+ * Load pattern: lengths in a step are heavy-tailed, and the few longest samples decide when it is complete. Without a prediction they start in arbitrary
+ * order, the last of them near the end. Samples of one prompt have similar lengths, and a prompt is used again in later steps; the prediction uses both.
  */
 import {dropOldest} from '@wasabiusher/shared';
 
-/** Lengths of one kind of work that are remembered; enough for its distribution, recent enough to follow a policy that changes. */
+/** Maximum number of lengths remembered per kind of work; enough for the distribution, recent enough to follow a changing policy. */
 const maxLengths = 512;
 
-/** Prompts remembered; some steps' worth. 3.4 MB as measured. */
+/** Maximum number of remembered prompts, enough for some steps; 3.4 MB as measured. */
 const maxPrompts = 20_000;
 
-/** Samples of a prompt that weigh as much as what is known of all prompts. */
+/** Weight of the mean of all prompts, in samples of the prompt. */
 const priorWeight = 1;
 
-/** Weight of the newest sample of a prompt at the least, as the policy moves. */
+/** Minimum weight of the newest sample of a prompt, as the policy changes. */
 const minNewestWeight = 0.1;
 
-/** What remains of a sample that is longer than all known, over its length so far; a Pareto tail of exponent 3 gives a half. */
+/** Expected remaining length of a sample that is longer than all known ones, over its length so far; a Pareto tail of exponent 3 gives a half. */
 const tailFactor = 0.5;
 
 type Kind = {lengths: number[]; next: number; sum: number};
@@ -27,26 +26,26 @@
 type Prompt = {
 	mean: number;
 	count: number;
-	/** Tokens that the longest sample still running has made. */
+	/** Number of tokens of the longest sample still running. */
 	soFar: number;
 };
 
-/** Learns lengths by kind of work (a profile and model, say) and by prompt. */
+/** Tracks lengths by kind of work (for example profile and model) and by prompt. */
 export class LengthPrediction {
 	readonly #kinds = new Map<string, Kind>();
 	readonly #prompts = new Map<string, Prompt>();
 
-	/** A sample was finished with so many tokens. */
+	/** Records the length of a finished sample, in tokens. */
 	record(kindName: string, prompt: string, tokens: number): void {
 		this.#recordKind(kindName, tokens);
 		const key = `${kindName}/${prompt}`;
 		const {mean, count} = this.#prompts.get(key) ?? {mean: 0, count: 0};
 		const weight = Math.max(minNewestWeight, 1 / (count + 1));
-		// Those that still run tell their progress again.
+		// Samples that are still running report their progress again.
 		this.#setPrompt(key, {mean: mean + (weight * (tokens - mean)), count: count + 1, soFar: 0});
 	}
 
-	/** A sample has made so many tokens and still runs; its siblings will likely be long too. */
+	/** Records the progress of a running sample, in tokens; other samples of its prompt are likely to be long too. */
 	recordProgress(kindName: string, prompt: string, soFar: number): void {
 		const key = `${kindName}/${prompt}`;
 		const known = this.#prompts.get(key);
@@ -57,12 +56,12 @@
 		}
 	}
 
-	/** Whether a sample of this prompt has finished. */
+	/** Returns whether a sample of this prompt has finished. */
 	knows(kindName: string, prompt: string): boolean {
 		return (this.#prompts.get(`${kindName}/${prompt}`)?.count ?? 0) > 0;
 	}
 
-	/** Expected tokens of a sample, at most `maxTokens`; half of that while nothing is known. */
+	/** Returns the expected number of tokens of a sample, at most `maxTokens`; half of that while nothing is known. */
 	predict(kindName: string, prompt: string, maxTokens: number): number {
 		const kind = this.#kinds.get(kindName);
 		const known = this.#prompts.get(`${kindName}/${prompt}`);
@@ -73,7 +72,7 @@
 		return Math.min(maxTokens, soFar > mean ? (1 + tailFactor) * soFar : mean);
 	}
 
-	/** Expected tokens still to come of a sample that has made `soFar`: the mean excess of those known to be longer. */
+	/** Returns the expected number of remaining tokens of a sample that has made `soFar`: the mean excess of the known longer ones. */
 	predictRemaining(kindName: string, prompt: string, soFar: number, maxTokens: number): number {
 		const kind = this.#kinds.get(kindName);
 		if (!kind) {
--- a/packages/decisions/src/load-estimator.ts
+++ b/packages/decisions/src/load-estimator.ts
@@ -1,49 +1,49 @@
 /**
- * What an endpoint holds, as an entry can know it.
+ * Estimates the present load of an endpoint from lagging reports.
  *
- * Load pattern: load reports are late, and several entries act on the same ones. Without a correction each goes on
- * sending to the endpoint that was idle when last heard of, until the report shows the pile that this made.
- * In the experiment's sweep (8 entries, 64 endpoints, reports 500 ms late, calls of 200 ms) p99 is 2,420 ms with reports as
- * they come, 2,270 corrected by what the entry itself sent since, and 426 when others' part also fades with age.
+ * Load pattern: load reports are late, and several entries act on the same ones. Without a correction each keeps sending to the endpoint that its last
+ * report showed as idle, until the next report shows the resulting overload. In the experiment's sweep (8 entries, 64 endpoints, reports 500 ms late,
+ * calls of 200 ms) p99 is 2,420 ms with uncorrected reports, 2,270 when corrected by what the entry itself has sent since, and 426 when the load of
+ * others also fades with the report's age.
  */
 
-/** A load report of an endpoint; it is older than its arrival. */
+/** A load report of an endpoint; it was measured before it arrived. */
 export type LoadReport = {
-	/** Requests held when it was measured, by whoever sent them. */
+	/** Number of requests at the endpoint when it was measured, from all senders. */
 	load: number;
-	/** When it was measured, on the clock of `now`; the arrival less the stated lag. */
+	/** Time of the measurement, on the clock of `now`: the arrival minus the stated lag. */
 	measuredAt: number;
 };
 
 /**
- * Changes kept to correct a report with. An entry sends some requests a second to each endpoint, so
- * these cover more than a minute; beyond them the older half is dropped and this entry's own open requests are the floor.
+ * Maximum number of changes kept to correct a report. An entry sends some requests a second to each endpoint, so these cover more than a minute; beyond
+ * them the older half is dropped, and this entry's own open requests are the lower bound.
  */
 const maxChanges = 256;
 
-/** Weight of a report in what others usually have there; reports come several times a second or each second. */
+/** Weight of a report in the mean load of others; reports arrive once or several times a second. */
 const otherLoadSmoothingWeight = 0.05;
 
-/** What an endpoint holds now, from a report that lags. */
+/** Estimates the load of one endpoint. */
 export class LaggingLoad {
 	#report: LoadReport = {load: 0, measuredAt: Number.NEGATIVE_INFINITY};
 	#changes: Array<{at: number; by: 1 | -1}> = [];
 	#changeSinceReport = 0;
-	/** Requests of others there in the mean. */
+	/** Mean number of requests of others at the endpoint. */
 	#meanOthers = 0;
 	#ownOpen = 0;
 
-	/** A request was sent there. */
+	/** Records a request sent to the endpoint. */
 	recordSent(now: number): void {
 		this.#change(1, now);
 	}
 
-	/** A request sent there has ended. */
+	/** Records the end of a request sent to the endpoint. */
 	recordEnded(now: number): void {
 		this.#change(-1, now);
 	}
 
-	/** Takes a report; one older than the last is ignored. */
+	/** Processes a report; ignores one that was measured before the last. */
 	receive(report: LoadReport): void {
 		if (report.measuredAt >= this.#report.measuredAt) {
 			this.#report = report;
@@ -53,10 +53,10 @@
 	}
 
 	/**
-	 * Requests expected there now: this entry's own, which it knows, and those of others, of which the report says the less
+	 * Returns the expected number of requests at the endpoint now: this entry's own, which are known, and those of others, for which the report counts less
 	 * the more of them have ended since.
 	 *
-	 * @param serviceMs - how long a request usually stays there, in milliseconds
+	 * @param serviceMs - usual duration of a request, in milliseconds
 	 */
 	estimate(now: number, serviceMs: number): number {
 		const ageMs = Math.max(0, now - this.#report.measuredAt);
@@ -64,12 +64,12 @@
 		return this.#ownOpen + this.#meanOthers + (reportWeight * (this.#findOthers() - this.#meanOthers));
 	}
 
-	/** Requests there now: the report, corrected by what was sent and has ended since; never less than this entry's own. */
+	/** Number of requests at the endpoint now: the report, corrected by requests sent and ended since; at least this entry's own. */
 	get load(): number {
 		return Math.max(this.#ownOpen, this.#report.load + this.#changeSinceReport);
 	}
 
-	/** Requests of others by the report: all that it shows but this entry's at that time. */
+	/** Returns the requests of others according to the report: its total minus this entry's own at that time. */
 	#findOthers(): number {
 		return Math.max(0, this.#report.load - (this.#ownOpen - this.#changeSinceReport));
 	}
--- a/packages/decisions/src/model-assignment.ts
+++ b/packages/decisions/src/model-assignment.ts
@@ -2,12 +2,12 @@
  * Assigns the endpoints of a service to models: each is kept at the newest weights of its model.
  *
  * Load pattern: three trainers share six endpoints and publish a version each every few seconds. If every endpoint holds every model, it has to load
- * three times as often, and takes no new texts for about a second each time. Each endpoint therefore follows one model.
+ * three times as often, and takes no new generations for about a second each time. Each endpoint therefore follows one model.
  *
- * The trainers' steps differ: one has short texts only, two have texts that are twice as long and over twice the work. With equal numbers of endpoints,
- * those of the first are idle while texts of the others wait for seconds and are generated at the pace of a full endpoint. So the number of endpoints of
- * a model follows the work of its steps, and fast endpoints go to models with long texts, which decide when a step is complete. An endpoint that changes
- * its model has to load once more, so assignments change only for a clear gain.
+ * The trainers' steps differ: one has short generations only, two have generations that are twice as long and over twice the work. With equal numbers of
+ * endpoints, those of the first are idle while generations of the others wait for seconds and run at the pace of a full endpoint. So the
+ * number of endpoints of a model follows the work of its steps, and fast endpoints go to models with long generations, which decide when a step is
+ * complete. An endpoint that changes its model has to load once more, so assignments change only for a clear gain.
  */
 import {rankCandidate} from '@wasabiusher/shared';
 import {allocateFastEndpoints, splitBySpeed} from './fast-endpoint-allocation.js';
@@ -25,7 +25,7 @@
 export type ModelNeed = {
 	/** Work of a step, in any unit that the models share. */
 	work: number;
-	/** Length of its longest texts, in the same unit. */
+	/** Length of its longest generations, in the same unit. */
 	longest: number;
 };
 
@@ -44,8 +44,8 @@
 export type ModelAssignmentStrategy = Policy['placement'];
 
 /**
- * Bonus for a model that already has the endpoint, as a fraction of an endpoint. Length hints are far off for single texts, so that the work of steps
- * differs by a tenth from one to the next.
+ * Bonus for a model that already has the endpoint, as a fraction of an endpoint. Length hints are far off for single generations, so that the work of
+ * steps differs by a tenth from one to the next.
  */
 const retentionBonus = 0.3;
 
--- a/packages/decisions/src/pace.ts
+++ b/packages/decisions/src/pace.ts
@@ -1,22 +1,22 @@
 /**
- * How fast an endpoint works, from the times of single units of work.
+ * Measures the pace of an endpoint from the times of single units of work.
  *
- * Load pattern: two of six endpoints take a quarter longer for each event, and single events of any endpoint differ by half,
- * since prompts of other requests are read between them. A mean over few events takes sound endpoints for slow ones by turns: long texts
- * were moved three to eight times, half of the moves to an endpoint that was no faster. The mean over some twenty
- * events differs by less than a twentieth and still tells a slow endpoint within half a second.
+ * Load pattern: two of six endpoints take a quarter longer for each event, and single events of any endpoint differ by half, since prompts of other
+ * requests are processed between them. A mean over few events makes healthy endpoints look slow now and then: long generations were moved three to eight
+ * times, half of the moves to an endpoint that was no faster. The mean over some twenty events varies by less than a twentieth and still detects a slow
+ * endpoint within half a second.
  */
 
-/** Units of work that the mean reaches back over. */
+/** Number of units of work in the running mean. */
 const windowUnits = 20;
 
-/** Time after which a measured pace counts for nothing, in milliseconds, so that an endpoint that was slow is tried again. */
+/** Time after which a measured pace expires, in milliseconds, so that an endpoint that was slow is tried again. */
 const maxAgeMs = 2000;
 
-/** Longest time for a unit of work that counts, in milliseconds; loading weights takes longer. */
+/** Maximum time for a unit of work that is recorded, in milliseconds; loading weights takes longer. */
 const maxUnitMs = 600;
 
-/** Measurements before a pace counts. */
+/** Minimum number of measurements for a valid pace. */
 const minUnits = 5;
 
 /** Running mean of the time for a unit of work. */
@@ -25,7 +25,7 @@
 	#count = 0;
 	#lastRecordedAt = Number.NEGATIVE_INFINITY;
 
-	/** Takes one unit into the mean; a pause for new weights says nothing of the pace and is left out. */
+	/** Adds one unit to the mean; a pause for new weights says nothing about the pace and is ignored. */
 	record(unitMs: number): void {
 		if (unitMs > maxUnitMs) {
 			return;
@@ -41,7 +41,7 @@
 		this.#lastRecordedAt = now;
 	}
 
-	/** Time for a unit of work of late, in milliseconds; undefined unless enough was measured lately. */
+	/** Recent time per unit of work, in milliseconds; undefined without enough recent measurements. */
 	get unitMs(): number | undefined {
 		return this.#count >= minUnits && performance.now() - this.#lastRecordedAt < maxAgeMs ? this.#meanMs : undefined;
 	}
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -8,11 +8,11 @@
 export const policySchema = z.strictObject({
 	/** Move runs to a faster endpoint while they are in progress. */
 	movesRuns: z.boolean().default(true),
-	/** Regenerate long texts under newer weights, for a later step. */
+	/** Regenerate long generations under newer weights, for a later step. */
 	makesSecondTexts: z.boolean().default(true),
-	/** Retain the finished and partial texts of incomplete groups for a later step. */
+	/** Retain the finished and partial generations of incomplete groups for a later step. */
 	keepsTexts: z.boolean().default(true),
-	/** Checkpoint unfinished texts, so that a later owner can resume them. */
+	/** Checkpoint unfinished generations, so that a later owner can resume them. */
 	keepsCheckpoints: z.boolean().default(true),
 	/** Allow only one attempt at a time after an endpoint has refused a request, or has not answered. */
 	pausesAfterRefusals: z.boolean().default(true),
--- a/packages/decisions/src/prefix-index.ts
+++ b/packages/decisions/src/prefix-index.ts
@@ -1,43 +1,42 @@
 /**
- * Which endpoints likely cache which prompt prefixes.
+ * Estimates which endpoints cache which prompt prefixes.
  *
- * Load pattern: many requests begin with the same long prompt, as the samples of a group do. Without this
- * each endpoint computes every prefix anew and evicts another's. What was sent is taken as cached there;
- * the engines' cache events, which come late and with gaps, mend that. The index is a hint: a wrong one
- * costs a computed prefix, never a wrong answer.
+ * Load pattern: many requests begin with the same long prompt, as the samples of a group do. Without the index each endpoint computes every prefix again
+ * and evicts another's. Prefixes of sent requests count as cached; the engines' cache events, which are delayed and incomplete, correct that. The index
+ * is a hint: an error costs a computed prefix, never a wrong answer.
  */
 import {hashText, dropOldest} from '@wasabiusher/shared';
 
-/** Characters in a block: some 64 tokens, a few of the blocks that engines usually cache by. */
+/** Characters per block: about 64 tokens, a few of the blocks that engines usually cache. */
 const blockLength = 256;
 
-/** Blocks looked at in one prompt; 16,000 characters tell prompts apart, and bound the time of a decision. */
+/** Maximum number of blocks of a prompt; 16,000 characters distinguish prompts and bound the time of a decision. */
 const maxBlocks = 64;
 
 /**
- * Blocks remembered for each endpoint: 130,000 tokens of prompts. An entry with 64 endpoints in view then spends some
- * 8 MB on them, as measured; what an engine can cache (16,384) would take 49 MB of a budget of 64.
+ * Maximum number of blocks remembered per endpoint: 130,000 tokens of prompts. An entry with 64 endpoints then uses 8 MB for them, as measured; the
+ * number that an engine can cache (16,384) would take 49 MB of a budget of 64.
  */
 const defaultCapacity = 2048;
 
-/** What an engine says of its cache. */
+/** Cache event of an engine. */
 export type CacheEvent = {
 	endpoint: string;
-	/** Counts up by one for each event of the endpoint; a jump is a gap. */
+	/** Incremented by one with each event of the endpoint; a jump is a gap. */
 	sequence: number;
 	kind: 'stored' | 'removed' | 'cleared';
 	blocks: readonly string[];
 };
 
 type EndpointCache = {
-	/** Blocks from the least to the most recently used, with when they were last used. */
+	/** Blocks with the time of their last use, least recently used first. */
 	blocks: Map<string, number>;
 	sequence: number | undefined;
-	/** Blocks not used since may have been evicted unheard. */
+	/** Blocks last used before this time may have been evicted without a received event. */
 	trustedSince: number;
 };
 
-/** Splits a prompt into the names of its prefixes: each names its block and all before it. */
+/** Returns the hashes of a prompt's prefixes: each identifies its block and all blocks before it. */
 export function splitPrefix(prompt: string): string[] {
 	const names: string[] = [];
 	let previous = '';
@@ -50,7 +49,7 @@
 	return names;
 }
 
-/** Remembers prefixes by endpoint, bounded for each. */
+/** Remembers prefixes by endpoint, up to a maximum for each. */
 export class PrefixIndex {
 	readonly #caches = new Map<string, EndpointCache>();
 	readonly #capacity: number;
@@ -68,17 +67,17 @@
 		},
 	};
 
-	/** @param capacity - blocks remembered for each endpoint */
+	/** @param capacity - maximum number of blocks remembered per endpoint */
 	constructor(capacity: number = defaultCapacity) {
 		this.#capacity = capacity;
 	}
 
-	/** A request with these prefixes was sent there, so it will cache them. */
+	/** Records that a request with these prefixes was sent to the endpoint, which will cache them. */
 	recordSent(endpoint: string, blocks: readonly string[], now: number): void {
 		this.#touch(this.#findCache(endpoint), blocks, now);
 	}
 
-	/** Takes an event; one older than the last is dropped, as a later one has overtaken it. */
+	/** Processes a cache event; ignores one that arrives after a later one. */
 	receive({endpoint, sequence, kind, blocks}: CacheEvent, now: number): void {
 		const cache = this.#findCache(endpoint);
 		if (cache.sequence !== undefined && sequence <= cache.sequence) {
@@ -86,7 +85,7 @@
 		}
 
 		if (cache.sequence !== undefined && sequence > cache.sequence + 1) {
-			// What was lost may have been removals: only what is used from now on is trusted.
+			// Lost events may have been removals, so only blocks used from now on are trusted.
 			cache.trustedSince = now;
 		}
 
@@ -94,12 +93,12 @@
 		this.#handlers[kind](cache, blocks, now);
 	}
 
-	/** The endpoint restarted or left; it caches nothing. */
+	/** Removes an endpoint that restarted or left; it caches nothing. */
 	forget(endpoint: string): void {
 		this.#caches.delete(endpoint);
 	}
 
-	/** Part of these prefixes that the endpoint likely caches, from 0 to 1; what is doubtful counts half. */
+	/** Returns the fraction of these prefixes that the endpoint probably caches, from 0 to 1; untrusted blocks count half. */
 	match(endpoint: string, blocks: readonly string[]): number {
 		const cache = this.#caches.get(endpoint);
 		if (!cache || blocks.length === 0) {
@@ -121,7 +120,7 @@
 		return cache;
 	}
 
-	/** The longest prefix counts as used first, so that it is forgotten before those that it begins with. */
+	/** The longest prefix counts as used first, so that it is evicted before the shorter prefixes that it includes. */
 	#touch(cache: EndpointCache, blocks: readonly string[], now: number): void {
 		for (const block of blocks.toReversed()) {
 			cache.blocks.delete(block);
@@ -133,8 +132,8 @@
 }
 
 /**
- * Blocks of the longest prefix that is cached, by bisection: what is cached of a prompt has no holes but for lost events,
- * and after those any answer is a guess. Six look-ups an endpoint instead of up to 64.
+ * Returns the number of blocks of the longest cached prefix, by bisection: the cached blocks of a prompt have no gaps except after lost events, and then
+ * any answer is a guess. Takes six look-ups per endpoint instead of up to 64.
  */
 function countCachedBlocks({blocks: cached}: EndpointCache, blocks: readonly string[]): number {
 	let matched = 0;
--- a/packages/decisions/src/regenerations.ts
+++ b/packages/decisions/src/regenerations.ts
@@ -1,31 +1,31 @@
 /**
- * Which unfinished texts are begun a second time under newer weights, for a later batch.
+ * Decides which unfinished generations are regenerated under newer weights, for a later batch.
  *
- * Load pattern: a trainer waits for nine tenths of the groups of a step and hands the rest in again two steps later, where it must
- * wait for them. Those are the longest texts, of seven seconds, and by then the versions that began them are too old: begun
- * anew they hold up that step by their whole length. Once newer weights are published, slots that are free are given to a
- * second text of each long one; it is half made when the later step comes, and costs nothing that anybody waits for.
+ * Load pattern: a trainer waits for nine tenths of the groups of a step and submits the rest again two steps later, where it must wait for them. Those
+ * are the longest generations, of seven seconds, and by then the versions that began them are too old: begun again then, they delay that step by their
+ * whole length. Once newer weights are published, free slots are used to regenerate each long generation; the regeneration is half complete when the
+ * later step comes, and delays no other work.
  */
 
-/** What is known of a text that is being made. */
+/** A generation in progress. */
 export type RegenerationCandidate = {
 	id: string;
-	/** Events made so far. */
+	/** Number of events made so far. */
 	events: number;
-	/** Oldest version that made one of them. */
+	/** Oldest version that made one of its events. */
 	oldestVersion: number;
-	/** Whether a second text of it has been begun. */
+	/** Whether a regeneration of it has been started. */
 	isRenewed: boolean;
 };
 
 /**
- * Events from which a text is taken for one that its step may end without: of some 2,800 texts two thirds were shorter than half of
- * that and one in seven was as long.
+ * Number of events from which a generation is likely to be left out of its step: of about 2,800 generations two thirds were shorter than half of that
+ * and one in seven was as long.
  */
 const minEvents = 60;
 
 /**
- * Ids of the texts to begin a second time, the longest first.
+ * Returns the ids of the generations to regenerate, longest first.
  *
  * @param published - newest version of the weights
  */
--- a/packages/decisions/src/retries.ts
+++ b/packages/decisions/src/retries.ts
@@ -1,44 +1,43 @@
 /**
- * Whether and when a failed attempt is made again.
+ * Decides whether and when a failed attempt is retried.
  *
- * Load pattern: all endpoints fail for some seconds. Without this each failure turns into more load, several
- * times over where two layers retry, and keeps the endpoints down when they would come back. Only entries retry;
- * agents never do. Each caller has a budget that is a part of its first tries.
+ * Load pattern: all endpoints fail for some seconds. Without a budget each failure causes more load, multiplied where two layers retry, and prevents the
+ * endpoints from recovering. Only entries retry; agents never do. The retry budget of each caller is a fraction of its first attempts.
  */
 import {dropOldest, type Ran, type Random} from '@wasabiusher/shared';
 
-/** Retries for each first try. In the experiment's outage of 10 s attempts are 1.15 times the first tries, what 30 callers had saved up included. */
+/** Retries per first attempt. In the experiment's outage of 10 s there are 1.15 attempts per first attempt, including the saved retries of 30 callers. */
 const retryRatio = 0.1;
 
-/** Retries that a caller may have saved up: enough for a single failure now and then of a caller that sends little. */
+/** Maximum number of retries that a caller can save: enough for an occasional failure of a caller that sends little. */
 const maxSavedRetries = 3;
 
-/** Callers remembered; the one unused longest is forgotten first, and starts again with what may be saved up. */
+/** Maximum number of remembered callers; the least recently used is removed first, and starts again with the maximum of saved retries. */
 const maxCallers = 10_000;
 
-/** Attempts of one request, the first included. */
+/** Maximum number of attempts of one request, including the first. */
 export const maxAttempts = 3;
 
-/** Times that one request may be sent on after an agent refused it for want of a slot; costs endpoints nothing. */
+/** Maximum number of times that one request is rerouted after an agent refused it for lack of a slot; costs endpoints nothing. */
 const maxReroutes = 3;
 
-/** Mean wait before the first retry, in milliseconds; doubles with each, spread by full jitter (Brooker, 2015). */
+/** Mean delay before the first retry, in milliseconds; doubles with each retry, with full jitter (Brooker, 2015). */
 const initialDelayMs = 50;
 
-/** What is known when an attempt has failed. */
+/** A failed attempt. */
 export type FailedAttempt = {
 	caller: string;
-	/** Whether the attempt may have had an effect; `no` only if proven. */
+	/** Whether the attempt may have had an effect; `no` only if that is proven. */
 	ran: Ran;
 	isIdempotent: boolean;
-	/** The agent refused it at once, as its line was full or it is leaving; the endpoint was not reached. */
+	/** The agent refused it immediately, as its queue was full or it is leaving; it did not reach the endpoint. */
 	isRefusal: boolean;
-	/** Attempts that reached an endpoint or were lost on the way, this one included. */
+	/** Number of attempts that reached an endpoint or were lost in transit, including this one. */
 	attempts: number;
-	/** Refusals so far, this one included. */
+	/** Number of refusals so far, including this one. */
 	refusals: number;
 	deadlineAt: number;
-	/** Time that an attempt is expected to take, in milliseconds. */
+	/** Expected duration of an attempt, in milliseconds. */
 	serviceMs: number;
 };
 
@@ -46,7 +45,7 @@
 	= | {kind: 'retry'; delayMs: number}
 		| {kind: 'give-up'; reason: 'may-have-run' | 'attempts-spent' | 'budget-spent' | 'deadline-too-near'};
 
-/** Token bucket for each caller that bounds retries to a part of its first tries. */
+/** Token bucket per caller that limits retries to a fraction of its first attempts. */
 export class RetryBudget {
 	readonly #tokens = new Map<string, number>();
 
@@ -54,7 +53,7 @@
 		this.#set(caller, Math.min(maxSavedRetries, this.#get(caller) + retryRatio));
 	}
 
-	/** Takes one retry; false when the budget is spent. */
+	/** Takes one retry from the budget; returns false when it is spent. */
 	tryTake(caller: string): boolean {
 		const tokens = this.#get(caller);
 		if (tokens < 1) {
@@ -76,7 +75,7 @@
 	}
 }
 
-/** Decides on a failed attempt; takes from the budget if it is to be made again. */
+/** Decides whether to retry a failed attempt; a retry is taken from the budget. */
 export function decideRetry(failure: FailedAttempt, budget: RetryBudget, random: Random, now: number): RetryDecision {
 	const {ran, isIdempotent, isRefusal, attempts, refusals, deadlineAt, serviceMs} = failure;
 	if (ran !== 'no' && !isIdempotent) {
@@ -87,7 +86,7 @@
 		return {kind: 'give-up', reason: 'attempts-spent'};
 	}
 
-	// A refusal is answered at once by another endpoint's agent; there is nothing to wait for.
+	// After a refusal another endpoint's agent can answer immediately, so there is nothing to wait for.
 	const delayMs = isRefusal ? 0 : random.next() * 2 * initialDelayMs * (2 ** (attempts - 1));
 	if (now + delayMs + serviceMs > deadlineAt) {
 		return {kind: 'give-up', reason: 'deadline-too-near'};
--- a/packages/decisions/src/retry-after-plan.ts
+++ b/packages/decisions/src/retry-after-plan.ts
@@ -1,44 +1,44 @@
 /**
- * When callers that were refused for lack of room should come back.
+ * Plans when refused callers should come back.
  *
- * Load pattern: a burst of forty calls meets a service that has four slots and serves forty a second. Told the same short time, all that were
- * refused come back together, five attempts for each call that is served. Instead each is told when the service will have
- * served those that were refused before it: callers return one after the other, a little faster than the service drains, with
- * less than half of the attempts.
+ * Load pattern: a burst of forty calls meets a service that has four slots and serves forty calls a second. If all refused callers get the same short
+ * retry-after time, they come back together, with five attempts for each served call. Instead each gets the time by which the service will have served
+ * those that were refused before it: callers come back one after the other, slightly faster than the service drains, with less than half of the
+ * attempts.
  */
 
-/** What is known of an endpoint's room. */
+/** Occupancy of an endpoint. */
 export type EndpointRoom = {
 	slots: number;
-	/** Requests that run there, and that wait there. */
+	/** Number of requests that are running and that are waiting at the endpoint. */
 	running: number;
 	waiting: number;
-	/** Time that a request takes there, in milliseconds; undefined until measured. */
+	/** Time that a request takes at the endpoint, in milliseconds; undefined until measured. */
 	workMs: number | undefined;
 };
 
-/** Time that a request is taken for while none was measured, in milliseconds. */
+/** Assumed duration of a request until measured, in milliseconds. */
 export const defaultWorkMs = 100;
 
-/** Shortest and longest time that a caller is told, in milliseconds: a round trip, and what callers with a budget of some seconds will still wait. */
+/** Shortest and longest retry-after time, in milliseconds: a round trip, and the time that callers with a budget of some seconds will still wait. */
 const minReturnMs = 20;
 const maxReturnMs = 2000;
 
 /**
- * Part of the drain's interval at which callers return. Requests end in bursts, and at the drain's own pace a slot that was missed stays empty: a
- * burst of forty took a fifth longer than with callers that come all the time.
+ * Interval at which callers return, as a fraction of the drain interval. Requests end in bursts, and if callers return exactly at the drain rate, a
+ * missed slot stays empty: a burst of forty took a fifth longer than with callers that retry continuously.
  */
 const returnIntervalFactor = 0.7;
 
-/** When refused callers of one service return. */
+/** Plans the return of refused callers of one service. */
 export class ReturnPlan {
-	/** When the caller returns that was refused last, on the monotonic clock. */
+	/** Time at which the last refused caller returns, on the monotonic clock. */
 	#lastReturnAt = Number.NEGATIVE_INFINITY;
 
 	/**
-	 * Time after which a caller that is refused now should come back, in milliseconds.
+	 * Returns the retry-after time of a caller that is refused now, in milliseconds.
 	 *
-	 * @param endpoints - the endpoints of its service that can be asked; without any the caller is told the time of one request
+	 * @param endpoints - available endpoints of its service; without any the time is that of one request
 	 */
 	plan(endpoints: readonly EndpointRoom[]): number {
 		const now = performance.now();
@@ -52,7 +52,7 @@
 	}
 }
 
-/** Time until a slot is free for a newcomer, in milliseconds. */
+/** Returns the time until a slot is free for a new request, in milliseconds. */
 function estimateFreeSlotMs({slots, running, waiting, workMs = defaultWorkMs}: EndpointRoom): number {
 	const ahead = Math.max(0, running + waiting + 1 - slots);
 	return ahead * workMs / Math.max(1, slots);
--- a/packages/decisions/src/sample-order.ts
+++ b/packages/decisions/src/sample-order.ts
@@ -1,27 +1,26 @@
 /**
- * In which order the samples of a batch are begun.
+ * Orders the samples of a batch.
  *
- * Load pattern: a step of 80 samples over 48 slots, with lengths of which a few are five times the mean. The trainer waits for
- * a part of the groups only, and a group counts when it is whole. Begun in the order of submission, a long sample that comes
- * last holds up its group; so long groups go first, but those that the trainer will not wait for go last.
- * Groups that were carried over from an earlier step are waited for in any case, so they come before all others.
+ * Load pattern: a step of 80 samples over 48 slots, with a few samples five times the mean length. The trainer waits for a part of the groups only, and
+ * a group counts when it is complete. In submission order, a long sample that comes last delays its group; so long groups go first, but those that the
+ * trainer will not wait for go last. Groups that were carried over from an earlier step must always be waited for, so they come before all others.
  */
 import {groupBy} from '@wasabiusher/shared';
 
-/** What is known of a sample beforehand. */
+/** A sample to be ordered. */
 export type OrderedSample = {
 	id: string;
-	/** Samples without a group count alone. */
+	/** Group of the sample; a sample without a group forms its own. */
 	group: string;
-	/** Expected length, in tokens; 0 if nothing is known. */
+	/** Expected length, in tokens; 0 if unknown. */
 	expectedTokens: number;
-	/** Whether its group must be waited for. */
+	/** Whether its group was carried over and must be waited for. */
 	isCarried: boolean;
 };
 
 type Group = {samples: OrderedSample[]; longest: number; isCarried: boolean};
 
-/** Ids of the samples, in the order in which they are to be begun. */
+/** Returns the ids of the samples, in the order in which to start them. */
 export function planBatchOrder(samples: readonly OrderedSample[], wantedGroups: number): string[] {
 	const groups = [...groupBy(samples, ({group}) => group).values()].map((members): Group => ({
 		samples: members.toSorted((a, b) => b.expectedTokens - a.expectedTokens),
--- a/packages/decisions/src/stragglers.ts
+++ b/packages/decisions/src/stragglers.ts
@@ -1,25 +1,25 @@
 /**
- * Which samples are run a second time late in a step.
+ * Decides which samples are copied to another endpoint late in a step.
  *
- * Load pattern: most of a step is done, slots are idle, and a few samples run on, some at a slow endpoint.
- * Without this the step waits for the slowest endpoint's last sample. A copy goes on from the text so far where the
- * profile allows, or begins anew; the first to finish is the sample (backup tasks: Dean and Ghemawat, 2004).
+ * Load pattern: most of a step is done, slots are idle, and a few samples are still running, some at a slow endpoint. Without copies the step waits for
+ * the last sample of the slowest endpoint. A copy resumes from the text so far where the profile allows it, or starts again; the first to finish
+ * provides the sample (backup tasks: Dean and Ghemawat, 2004).
  */
 
-/** A sample that runs late in a step. */
+/** A sample that is still running late in a step. */
 export type Straggler = {
 	id: string;
 	endpoint: string;
-	/** Tokens still expected, as `LengthPrediction` gives them. */
+	/** Expected number of remaining tokens, from `LengthPrediction`. */
 	remainingTokens: number;
-	/** Tokens made so far, all of which a copy makes again unless it can go on from them. */
+	/** Number of tokens made so far, which a copy has to make again unless it can resume from them. */
 	madeTokens: number;
-	/** Tokens a millisecond that it gets where it runs. */
+	/** Tokens per millisecond of the sample where it runs. */
 	speed: number;
 	isDoubled: boolean;
 	/**
-	 * When the rest of its step could be whole, in milliseconds from now: predicted tokens left over what all
-	 * endpoints make in a millisecond. Undefined if not known.
+	 * Time until the rest of its step could be complete, in milliseconds: predicted remaining tokens over the tokens per millisecond of all endpoints.
+	 * Undefined if unknown.
 	 */
 	stepLeftMs?: number;
 };
@@ -28,29 +28,32 @@
 export type IdleEndpoint = {
 	id: string;
 	slots: number;
-	/** Tokens a millisecond that one more sample gets there. */
+	/** Tokens per millisecond of one more sample at the endpoint. */
 	speed: number;
 };
 
 export type Copy = {sample: string; to: string};
 
 /**
- * Part of a step that must be finished or running before any copy is worth its work; before that only of a
- * sample that would outlast the step where it runs.
+ * Fraction of a step that must be finished or running before any copy is worth its work; before that, only samples that would outlast the step where
+ * they run are copied.
  */
 const lateStepFraction = 0.9;
 
-/** A copy must be expected to finish in less than this part of the time that the first still takes. */
+/** Maximum expected time of a copy, as a fraction of the remaining time of the original. */
 const maxCopyTimeFraction = 0.7;
 
-/** Time to compute a moved sample's text so far at its new place, in milliseconds for each token; prompts compute some hundred times as fast as answers. */
+/**
+ * Time to process a resumed sample's text at its new endpoint, in milliseconds per token; prompts are processed some hundred times as fast as answers
+ * are generated.
+ */
 const recomputeMsPerToken = 0.1;
 
 /**
- * Chooses copies, longest remaining time first; to be asked before new samples are given the free slots.
+ * Chooses copies, longest remaining time first; to be called before new samples get the free slots.
  *
- * @param startedFraction - part of the step's samples that are finished or running
- * @param canResume - whether a copy may go on from the text so far
+ * @param startedFraction - fraction of the step's samples that are finished or running
+ * @param canResume - whether a copy can resume from the text so far
  */
 export function planCopies(stragglers: readonly Straggler[], idle: readonly IdleEndpoint[], startedFraction: number, canResume: boolean): Copy[] {
 	const targets = idle.map(endpoint => ({...endpoint}));
@@ -79,7 +82,7 @@
 		.toSorted((a, b) => b.speed - a.speed)[0];
 }
 
-/** Time of a copy in milliseconds. */
+/** Returns the expected time of a copy, in milliseconds. */
 function estimateCopyMs({remainingTokens, madeTokens}: Straggler, {speed}: IdleEndpoint, canResume: boolean): number {
 	return canResume ? (madeTokens * recomputeMsPerToken) + (remainingTokens / speed) : (madeTokens + remainingTokens) / speed;
 }
--- a/packages/decisions/src/subsetting.ts
+++ b/packages/decisions/src/subsetting.ts
@@ -1,21 +1,20 @@
 /**
- * Which endpoints of a data centre each entry talks to.
+ * Assigns a subset of the endpoints of a data centre to each entry.
  *
- * Load pattern: 1,700 entries and 10,000 endpoints. Without this each knows all others: links, load reports
- * and memory grow with the product. Each process computes the same assignment from the same
- * membership list. Pairs are taken in the order of their hash while both sides have room, as in a
- * greedy matching, so that a host that comes or goes moves little besides its own pairs.
+ * Load pattern: 1,700 entries and 10,000 endpoints. Without subsetting each knows all others: links, load reports and memory grow with the product. Each
+ * process computes the same assignment from the same membership list. Pairs are taken in the order of their hash while both sides have free capacity, as
+ * in a greedy matching, so that a host that joins or leaves changes little besides its own pairs.
  */
 import {rankCandidate} from '@wasabiusher/shared';
 
-/** Endpoints that an entry talks to. 64 hold about 6,400 requests, of which an entry has some 100 a second to place. */
+/** Number of endpoints per entry. 64 endpoints run about 6,400 requests, of which an entry starts about 100 a second. */
 export const defaultDegree = 64;
 
 /**
- * Most entries of an endpoint over the even share, and the even share over the least. Measured with 90 entries and
- * 526 endpoints (one of 19 data centres of the size to design for; even share 11): at 1.1 an endpoint has 9–13
- * entries and one that leaves moves 2.9 times its own pairs; at 1.25 it is 8–14 and 1.5 times; at 1.5, 7–17 and
- * once. One assignment took 25 ms there, and is made only when the membership changes.
+ * Ratio of the maximum number of entries of an endpoint to the even share, and of the even share to the minimum. Measured with 90 entries and 526
+ * endpoints (one of 19 data centres of the design size; even share 11): at 1.1 an endpoint has 9–13 entries and one that leaves changes 2.9 times its
+ * own pairs; at 1.25 it has 8–14 and 1.5 times; at 1.5 it has 7–17 and once. One assignment took 25 ms there, and is only computed when the membership
+ * changes.
  */
 export const defaultSlack = 1.25;
 
@@ -23,7 +22,7 @@
 
 type Pair = {entry: string; endpoint: string; rank: number};
 
-/** The endpoints of each entry; the same for the same sets of names in any order. */
+/** Returns the endpoints of each entry; the result does not depend on the order of the names. */
 export function assignSubsets(entries: readonly string[], endpoints: readonly string[], options: SubsetOptions = {}): Map<string, string[]> {
 	const degree = Math.min(options.degree ?? defaultDegree, endpoints.length);
 	const mean = entries.length * degree / Math.max(1, endpoints.length);
@@ -36,7 +35,7 @@
 	return subsets;
 }
 
-/** Takes the pairs in order while both sides have room; returns those not taken. */
+/** Assigns the pairs in order while both sides have free capacity; returns the unassigned pairs. */
 function assignPairs(pairs: readonly Pair[], {degree, room}: {degree: number; room: number}, subsets: Map<string, string[]>, entryCounts: Map<string, number>): Pair[] {
 	return pairs.filter(({entry, endpoint}) => {
 		const subset = subsets.get(entry)!;
@@ -52,14 +51,14 @@
 }
 
 /**
- * Rounds up or down by the name, in proportion. If all endpoints were rounded alike, one host more
- * could change the room of all of them, and move the pairs of a whole data centre.
+ * Rounds up or down depending on the name, in proportion to the fraction. If all endpoints were rounded alike, one additional host could change the
+ * capacity of all of them, and reassign the pairs of a whole data centre.
  */
 function roundByName(capacity: number, name: string): number {
 	return Math.floor(capacity + (rankCandidate('room', name) / (2 ** 32)));
 }
 
-/** The endpoints of one entry. */
+/** Returns the endpoints of one entry. */
 export function findSubset(entry: string, entries: readonly string[], endpoints: readonly string[], options: SubsetOptions = {}): string[] {
 	return assignSubsets(entries, endpoints, options).get(entry) ?? [];
 }
--- a/packages/decisions/src/trainer-shares.ts
+++ b/packages/decisions/src/trainer-shares.ts
@@ -1,39 +1,38 @@
 /**
- * How trainers divide the engines.
+ * Divides the engines' slots among trainers.
  *
- * Load pattern: several trainers draw steps at once, of different sizes and begun at different times. Without
- * this the one that asks first or for the most holds the engines, and another misses its deadline by waiting.
- * Each gets the rate that its step still needs to be whole by its deadline; what is left goes by the operators'
- * shares, to steps first and then to the next step's work, which so fills a step's tail.
+ * Load pattern: several trainers run steps at the same time, of different sizes and begun at different times. Without division the one that requests
+ * first or most occupies the engines, and another misses its deadline by waiting. Each trainer gets the rate that its step still needs to be complete by
+ * its deadline; the rest is divided by the operators' shares, first among steps and then among work for the next steps, which fills the tail of a step.
  */
 
-/** What a trainer's current step still lacks. */
+/** Remaining demand of a trainer's current step. */
 export type TrainerDemand = {
 	trainer: string;
 	/** Weight of its profile. */
 	share: number;
-	/** Predicted tokens of what is not finished. */
+	/** Predicted tokens of its unfinished samples. */
 	remainingTokens: number;
-	/** When the step should be whole, on the clock of `now`. */
+	/** Time at which the step should be complete, on the clock of `now`. */
 	deadlineAt: number;
-	/** Slots that its unfinished samples can use. */
+	/** Number of slots that its unfinished samples can use. */
 	usableSlots: number;
-	/** Slots that work for its next step could use; 0 unless staleness allows it. */
+	/** Number of slots that work for its next step can use; 0 unless staleness allows it. */
 	nextStepSlots: number;
 };
 
-/** A step whole within 3 minutes, in milliseconds: the size to design for. */
+/** Time in which a step should be complete, in milliseconds: 3 minutes, the design target. */
 export const stepDeadlineMs = 180_000;
 
-/** Least time left that a need is worked out from, in milliseconds, so that a late step does not take everything. */
+/** Minimum remaining time that a demand is computed with, in milliseconds, so that a late step does not take everything. */
 const minRemainingMs = 10_000;
 
 type Claim = {trainer: string; wanted: number; weight: number};
 
 /**
- * Slots of each trainer; they add up to at most `slots`.
+ * Returns the slots of each trainer, in total at most `slots`.
  *
- * @param slotSpeed - tokens a millisecond that one slot makes
+ * @param slotSpeed - tokens per millisecond of one slot
  */
 export function divideSlots(demands: readonly TrainerDemand[], slots: number, slotSpeed: number, now: number): Map<string, number> {
 	const given = new Map(demands.map(({trainer}) => [trainer, 0]));
@@ -50,7 +49,7 @@
 	return remainingTokens / slotSpeed / Math.max(minRemainingMs, deadlineAt - now);
 }
 
-/** Divides slots by weight, none more than it wants (water-filling); returns what is left. */
+/** Divides slots by weight, giving no claim more than it wants (water-filling); returns the remaining slots. */
 function fillClaims(claims: readonly Claim[], slots: number, given: Map<string, number>): number {
 	let left = slots;
 	let open = claims.filter(({wanted, weight}) => wanted > 0 && weight > 0);
--- a/packages/decisions/src/weight-waves.ts
+++ b/packages/decisions/src/weight-waves.ts
@@ -1,34 +1,34 @@
 /**
- * Which endpoints fetch new weights and which swap to them now.
+ * Decides which endpoints fetch new weights and which swap to them now.
  *
- * Load pattern: new weights for all servers at once. Without waves all endpoints ask a rate-limited store together and stop
- * serving together. Weights are fetched beside the serving, from the store by a few and from peers by the rest if the
- * engines allow; endpoints swap as many at a time as interactive callers can spare. A swap that fails is tried
- * again from another source after the others, and is never counted as done.
+ * Load pattern: new weights for all servers at the same time. Without waves all endpoints request them from a rate-limited store together and stop
+ * serving together. Weights are fetched while the endpoint serves, by a few from the store and, if the engines allow it, by the rest from peers; only as
+ * many endpoints swap at the same time as interactive callers can spare. A failed swap is retried from another source after the others, and never counts
+ * as done.
  *
  * In the model of `weight-waves.spec.ts` 526 endpoints have the weights in 14.5 s with 2% of swaps failing.
  */
 import {hashToNumber} from '@wasabiusher/shared';
 
-/** An endpoint on its way to the ordered version. */
+/** An endpoint in transition to the ordered version. */
 export type Replica = {
 	id: string;
 	state: 'old' | 'fetching' | 'fetched' | 'swapping' | 'current';
-	/** Failed fetches and swaps to this version. */
+	/** Number of failed fetches and swaps to this version. */
 	failures: number;
-	/** Source of the fetch under way or last made: `store` or a peer. */
+	/** Source of the current or last fetch: `store` or the id of a peer. */
 	source?: string;
-	/** Not before this time, on the clock of `now`, after a failure. */
+	/** Time of the next attempt after a failure, on the clock of `now`. */
 	retryAt?: number;
 };
 
-/** What a rollout of weights has to respect. */
+/** Limits of a rollout of weights. */
 export type WaveLimits = {
-	/** Fetches that the store serves at once at full speed. */
+	/** Number of concurrent fetches that the store serves at full speed. */
 	storeStreams: number;
-	/** Fetches that one peer serves at once; 0 if the engines don't serve peers. */
+	/** Number of concurrent fetches that one peer serves; 0 if the engines don't serve peers. */
 	peerStreams: number;
-	/** Endpoints that interactive callers need at present, a fraction included. */
+	/** Number of endpoints that interactive callers need at present; may be fractional. */
 	interactiveEndpoints: number;
 };
 
@@ -37,27 +37,27 @@
 	swaps: string[];
 };
 
-/** Endpoints kept besides those that interactive callers need, as a part of them: a burst during the swap; as placement keeps. */
+/** Additional endpoints to keep serving, as a fraction of those that interactive callers need, to absorb a burst during the swap; the same as in placement. */
 const interactiveSpareFraction = 0.25;
 
-/** Most of the endpoints that swap at once even if interactive callers need none, so that trainers aren't all stopped together. */
+/** Maximum fraction of the endpoints that swap at the same time, even if interactive callers need none, so that trainers aren't all stopped together. */
 const maxSwappingFraction = 0.5;
 
-/** First wait after a failure, in milliseconds, doubled by each further one; a third failure leaves it within 17 s still. */
+/** First delay after a failure, in milliseconds, doubled by each further one; after a third failure an endpoint can still finish within 17 s. */
 const initialRetryMs = 500;
 
-/** Failures after which an endpoint is left at its old version and reported, until the next version. */
+/** Number of failures after which an endpoint is left at its old version and reported, until the next version. */
 export const maxFailures = 5;
 
-/** The source `store` of a fetch. */
+/** Name of the store as the source of a fetch. */
 export const storeSource = 'store';
 
-/** What to order now; to be asked again whenever something has finished or failed. */
+/** Returns what to order now; to be called again whenever a fetch or swap has finished or failed. */
 export function planWave(replicas: readonly Replica[], limits: WaveLimits, now: number): WavePlan {
 	return {fetches: planFetches(replicas, limits, now), swaps: planSwaps(replicas, limits, now)};
 }
 
-/** State of a replica after a failed fetch or swap: fetched again, from another source if one is free. */
+/** Returns the state of a replica after a failed fetch or swap: it is fetched again, from another source if one is free. */
 export function failReplica(replica: Replica, now: number): Replica {
 	const failures = replica.failures + 1;
 	return {
@@ -87,7 +87,7 @@
 	return fetches;
 }
 
-/** Streams that sources can still serve; peers before the store, which serves those that peers can't. */
+/** Returns the number of streams that each source can still serve; peers come before the store, which serves those that peers can't. */
 function listSources(replicas: readonly Replica[], {storeStreams, peerStreams}: WaveLimits): Map<string, number> {
 	const free = new Map<string, number>();
 	for (const {id, state} of replicas) {
@@ -116,7 +116,7 @@
 		}
 	}
 
-	// The source that failed is better than none.
+	// The failed source is better than none.
 	const last = avoid === undefined ? 0 : free.get(avoid) ?? 0;
 	if (last > 0) {
 		free.set(avoid!, last - 1);
@@ -137,7 +137,7 @@
 		.map(({id}) => id);
 }
 
-/** An order that spreads a wave over racks and data centres, which names usually follow. */
+/** Orders replicas by hash, which spreads a wave over racks and data centres, as names usually follow them. */
 function compareByHash(a: Replica, b: Replica): number {
 	return hashToNumber(a.id) - hashToNumber(b.id) || a.id.localeCompare(b.id);
 }
