--- a/packages/direct/__tests__/endpoint-directory.spec.ts
+++ b/packages/direct/__tests__/endpoint-directory.spec.ts
@@ -31,11 +31,11 @@
 		}
 
 		directory.recordRunPace('i', 120);
-		expect(directory.take({service: 's'})).to.equal(undefined);
+		expect(directory.acquire({service: 's'})).to.equal(undefined);
 		directory.put(createEndpoint({orderCount: 0, models: [{model: 'm', version: 3}]}));
 		expect(directory.findVersion('i', 'm')).to.equal(3);
-		expect(directory.findBestPace('i')).to.equal(undefined);
-		expect(directory.take({service: 's'})?.id).to.equal('i');
+		expect(directory.findBestPaceMs('i')).to.equal(undefined);
+		expect(directory.acquire({service: 's'})?.id).to.equal('i');
 	});
 
 	it('leaves out what the policy switches off: moves, pauses after refusals and silences, preference by pace', () => {
@@ -54,9 +54,9 @@
 			return changed;
 		};
 
-		expect([prepare({}), prepare({movesRuns: false})].map(one => one.takeBetter('slow', {service: 's'}, false) !== undefined)).to.deep.equal([true, false]);
+		expect([prepare({}), prepare({movesRuns: false})].map(one => one.acquireBetter('slow', {service: 's'}, false) !== undefined)).to.deep.equal([true, false]);
 		const chosen = (one: EndpointDirectory) => new Set(Array.from({length: 8}, () => {
-			const {id} = one.take({service: 's'})!;
+			const {id} = one.acquire({service: 's'})!;
 			one.release(id);
 			return id;
 		})).size;
@@ -69,7 +69,7 @@
 			}
 		}
 
-		expect([pausing.take({service: 's'}), asking.take({service: 's'})?.service]).to.deep.equal([undefined, 's']);
+		expect([pausing.acquire({service: 's'}), asking.acquire({service: 's'})?.service]).to.deep.equal([undefined, 's']);
 	});
 
 	it('tells refused callers to come back one after the other, at the rate at which the service drains', () => {
@@ -78,10 +78,10 @@
 			directory.recordPace('i', 100);
 		}
 
-		directory.take({service: 's'});
-		directory.take({service: 's'});
-		expect([1, 2, 3].map(() => directory.planReturn('s'))).to.deep.equal([50, 85, 120]);
-		expect(directory.planReturn('other')).to.equal(100);
+		directory.acquire({service: 's'});
+		directory.acquire({service: 's'});
+		expect([1, 2, 3].map(() => directory.planRetryAfterMs('s'))).to.deep.equal([50, 85, 120]);
+		expect(directory.planRetryAfterMs('other')).to.equal(100);
 	});
 
 	it('keeps away from a plain endpoint whose machine is disturbed, for as long as the disturbance lasts', () => {
@@ -91,7 +91,7 @@
 		}
 
 		const choose = () => new Set(Array.from({length: 30}, () => {
-			const {id} = directory.take({service: 's'})!;
+			const {id} = directory.acquire({service: 's'})!;
 			directory.release(id);
 			clock.tick(5);
 			return id;
@@ -117,10 +117,10 @@
 	it('learns the best pace of an endpoint from other processes, and forgets it', async () => {
 		directory.put(createEndpoint());
 		directory.learnPaces({i: 47, unknown: 30});
-		expect(directory.findBestPace('i')).to.equal(47);
+		expect(directory.findBestPaceMs('i')).to.equal(47);
 		expect(directory.listOwnPaces(5)).to.deep.equal({});
 		await clock.tickAsync(21_000);
-		expect(directory.findBestPace('i')).to.equal(undefined);
+		expect(directory.findBestPaceMs('i')).to.equal(undefined);
 	});
 
 	it('tells of all endpoints that it has measured, by turns where they are too many for once', () => {
@@ -160,16 +160,16 @@
 
 		lateness.record(50);
 		record(300);
-		expect(late.findBestPace('slow')).to.equal(undefined);
-		expect(late.findHeardAt('slow')).to.equal(performance.now());
+		expect(late.findBestPaceMs('slow')).to.equal(undefined);
+		expect(late.findLastReceivedAt('slow')).to.equal(performance.now());
 		for (let i = 0; i < 6; i += 1) {
 			lateness.record(0);
 		}
 
 		record(160);
-		expect(late.takeBetter('slow', {service: 's'}, false)).not.to.equal(undefined);
+		expect(late.acquireBetter('slow', {service: 's'}, false)).not.to.equal(undefined);
 		lateness.record(50);
-		expect(late.takeBetter('slow', {service: 's'}, false)).to.equal(undefined);
+		expect(late.acquireBetter('slow', {service: 's'}, false)).to.equal(undefined);
 	});
 
 	it('fills its own endpoints, and others one attempt at a time until they tell that they have room', () => {
@@ -177,8 +177,8 @@
 			directory.put(createEndpoint({id}));
 		}
 
-		const need = {service: 's', homes: new Set(['home']), openLimit: 1};
-		const take = () => directory.take(need)?.id;
+		const need = {service: 's', dedicated: new Set(['home']), openLimit: 1};
+		const take = () => directory.acquire(need)?.id;
 		expect([take(), take(), take(), take()]).to.deep.equal(['home', 'home', 'home', 'home']);
 		const other = take()!;
 		expect(['b', 'c']).to.include(other);
@@ -219,11 +219,11 @@
 			},
 		});
 		const need = {service: 's', avoidsSlow: true, excluded: new Set(['a', 'b'])};
-		expect(directory.take(need)?.id).to.equal('c');
+		expect(directory.acquire(need)?.id).to.equal('c');
 		for (let i = 0; i < 40; i += 1) {
 			directory.recordPace('c', 75);
 		}
 
-		expect(directory.take(need)).to.equal(undefined);
+		expect(directory.acquire(need)).to.equal(undefined);
 	});
 });
--- a/packages/direct/__tests__/load-news.spec.ts
+++ b/packages/direct/__tests__/load-news.spec.ts
@@ -7,7 +7,7 @@
 import {EndpointDirectory, LoadNews, WeightOrders} from '../src/index.js';
 import {createBench} from './fixtures.js';
 
-const need = {service: 's', least: {model: 'm', version: 1}};
+const need = {service: 's', oldestVersion: {model: 'm', version: 1}};
 const load = {endpoint: 'i0', model: 'm', version: 2};
 
 describe('LoadNews', () => {
@@ -86,26 +86,26 @@
 	it('leaves out an endpoint for the model that it loads, until it serves or the time has passed', async () => {
 		const {directory} = createBench(1);
 		directory.loads.note(load, 1000);
-		expect(directory.take(need)).to.equal(undefined);
-		expect(directory.take({...need, least: {model: 'other', version: 0}})?.id).to.equal('i0');
+		expect(directory.acquire(need)).to.equal(undefined);
+		expect(directory.acquire({...need, oldestVersion: {model: 'other', version: 0}})?.id).to.equal('i0');
 		directory.recordVersion('i0', 'm', 2);
-		expect(directory.take(need)?.id).to.equal('i0');
+		expect(directory.acquire(need)?.id).to.equal('i0');
 		directory.loads.note({...load, version: 3}, 1000);
 		await clock.tickAsync(1000);
-		expect(directory.take(need)?.id).to.equal('i0');
+		expect(directory.acquire(need)?.id).to.equal('i0');
 	});
 
 	it('believes no news for long, none of a version that is served, and none with the policy off', async () => {
 		const {directory, endpoints: [{id}]} = createBench(1) as ReturnType<typeof createBench> & {endpoints: [{id: string}]};
 		directory.loads.note(load, 1e9);
 		await clock.tickAsync(3000);
-		expect(directory.take(need)?.id).to.equal(id);
+		expect(directory.acquire(need)?.id).to.equal(id);
 		directory.loads.note({...load, version: 1}, 1000);
-		expect(directory.take(need)?.id).to.equal(id);
+		expect(directory.acquire(need)?.id).to.equal(id);
 		const plain = new EndpointDirectory(new Random(1), {...defaultPolicy, tellsLoads: false});
 		plain.put(directory.get(id)!);
 		plain.loads.note(load, 1000);
-		expect(plain.take(need)?.id).to.equal(id);
+		expect(plain.acquire(need)?.id).to.equal(id);
 	});
 
 	it('learns by a refusal of an endpoint with free slots that it loads what was published', async () => {
@@ -114,12 +114,12 @@
 		};
 		const findAfter = async (published: number, running: number) => {
 			const {directory} = createBench(1);
-			directory.loads.notePublished('m', published);
-			directory.take(need);
+			directory.loads.recordPublished('m', published);
+			directory.acquire(need);
 			directory.recordHead('i0', {...refusal, load: {...refusal.load, running}}, 'm');
 			directory.release('i0');
 			await clock.tickAsync(200);
-			return directory.take(need)?.id;
+			return directory.acquire(need)?.id;
 		};
 
 		expect([await findAfter(2, 1), await findAfter(1, 1), await findAfter(2, 4)]).to.deep.equal([undefined, 'i0', 'i0']);
--- a/packages/direct/__tests__/restart-watch.spec.ts
+++ b/packages/direct/__tests__/restart-watch.spec.ts
@@ -30,8 +30,8 @@
 		directory.recordRunPace('i0', 120);
 		directory.pause('i0', 60_000);
 		register({bornMs: 200, orderCount: 2, models: [{model: 'm', version: 3}]});
-		expect([directory.findVersion('i0', 'm'), directory.findBestPace('i0')]).to.deep.equal([3, undefined]);
-		expect(directory.take({service: 's', excluded: new Set(['i1'])})?.id).to.equal('i0');
+		expect([directory.findVersion('i0', 'm'), directory.findBestPaceMs('i0')]).to.deep.equal([3, undefined]);
+		expect(directory.acquire({service: 's', excluded: new Set(['i1'])})?.id).to.equal('i0');
 	});
 
 	it('does not come back to the former start by what that one wrote late', () => {
@@ -54,11 +54,11 @@
 	it('keeps count of what is open at the new start when attempts at the earlier one end', () => {
 		const {directory} = bench;
 		const need = {service: 's', excluded: new Set(['i1'])};
-		directory.take(need);
+		directory.acquire(need);
 		register({bornMs: 200});
 		directory.release('i0');
 		expect(directory.countOpen('i0')).to.equal(0);
-		directory.take(need);
+		directory.acquire(need);
 		expect(directory.countOpen('i0')).to.equal(1);
 		directory.release('i0');
 		expect(directory.countOpen('i0')).to.equal(0);
@@ -77,8 +77,8 @@
 	it('is the same once its registration is back after a lapse: what is open there counts on, and it stays draining', async () => {
 		const {directory} = bench;
 		const need = {service: 's', excluded: new Set(['i1'])};
-		directory.take(need);
-		directory.take(need);
+		directory.acquire(need);
+		directory.acquire(need);
 		const endpoint = await lapse();
 		directory.release('i0');
 		directory.put(endpoint);
@@ -112,7 +112,7 @@
 		const {kind} = await run;
 		expect(kind).to.equal('made');
 		expect(endpoints[1]!.runs).to.have.length(1);
-		expect(directory.take({service: 's', excluded: new Set(['i1'])})?.id).to.equal('i0');
+		expect(directory.acquire({service: 's', excluded: new Set(['i1'])})?.id).to.equal('i0');
 	});
 
 	it('answers a call that may not run twice with "unknown" at once, and sends one that may to another endpoint', async () => {
--- a/packages/direct/__tests__/sample-run.spec.ts
+++ b/packages/direct/__tests__/sample-run.spec.ts
@@ -121,14 +121,14 @@
 
 		const outcome = await run({}, 4000);
 		expect(readEvents(outcome)).to.have.length(60);
-		const paces = bench.endpoints.flatMap(({id}) => bench.directory.findBestPace(id) ?? []);
+		const paces = bench.endpoints.flatMap(({id}) => bench.directory.findBestPaceMs(id) ?? []);
 		expect(paces).to.deep.equal([40]);
 		for (let i = 0; i < 30; i += 1) {
 			bench.directory.recordPace(bench.endpoints[0]!.id, 0);
 			bench.directory.recordPace(bench.endpoints[1]!.id, 0);
 		}
 
-		expect(bench.endpoints.flatMap(({id}) => bench.directory.findBestPace(id) ?? [])).to.deep.equal([40]);
+		expect(bench.endpoints.flatMap(({id}) => bench.directory.findBestPaceMs(id) ?? [])).to.deep.equal([40]);
 	});
 
 	it('goes on at a faster endpoint only where it would be late otherwise, and begins there if it can', async () => {
--- a/packages/direct/__tests__/silence-watch.spec.ts
+++ b/packages/direct/__tests__/silence-watch.spec.ts
@@ -11,7 +11,7 @@
 		clock = install();
 		stop = new AbortController();
 		watch = new SilenceWatch(stop, () => Number.NEGATIVE_INFINITY);
-		watch.note();
+		watch.recordReceived();
 	});
 
 	afterEach(() => {
--- a/packages/direct/__tests__/slot-limits.spec.ts
+++ b/packages/direct/__tests__/slot-limits.spec.ts
@@ -4,7 +4,7 @@
 import {createBench} from './fixtures.js';
 
 const need = {
-	service: 's', least: {model: 'm', version: 1}, openLimit: 1, dueInMs: 1000,
+	service: 's', oldestVersion: {model: 'm', version: 1}, openLimit: 1, dueInMs: 1000,
 };
 
 /** Rations that a test sets. */
@@ -60,9 +60,9 @@
 	it('leaves out endpoints whose ration is used up, for those that can wait', () => {
 		const {directory} = share(1);
 		source.give('i0', 1);
-		expect(directory.take(createNeed('a'))?.id).to.equal('i0');
-		expect(directory.take(createNeed('b'))).to.equal(undefined);
-		expect(directory.take({service: 's'})?.id).to.equal('i0');
+		expect(directory.acquire(createNeed('a'))?.id).to.equal('i0');
+		expect(directory.acquire(createNeed('b'))).to.equal(undefined);
+		expect(directory.acquire({service: 's'})?.id).to.equal('i0');
 	});
 
 	it('wants one slot of one endpoint for each that waits, spread over those that fit', () => {
@@ -72,8 +72,8 @@
 		}
 
 		for (let i = 0; i < 6; i += 1) {
-			directory.take(createNeed(`w${i}`, i < 2 ? 0 : 1));
-			directory.take(createNeed(`w${i}`, i < 2 ? 0 : 1));
+			directory.acquire(createNeed(`w${i}`, i < 2 ? 0 : 1));
+			directory.acquire(createNeed(`w${i}`, i < 2 ? 0 : 1));
 		}
 
 		const told = [...source.told.values()];
@@ -84,10 +84,10 @@
 	it('takes back what was wanted once that is served, here or elsewhere, or has left', async () => {
 		const {directory, limits} = share(1);
 		source.give('i0', 0);
-		directory.take(createNeed('a'));
-		directory.take(createNeed('b'));
+		directory.acquire(createNeed('a'));
+		directory.acquire(createNeed('b'));
 		source.give('i0', 1);
-		expect(directory.take(createNeed('a'))?.id).to.equal('i0');
+		expect(directory.acquire(createNeed('a'))?.id).to.equal('i0');
 		expect(source.told.get('i0')).to.deep.include({filled: 1, wants: [{urgency: 1, count: 1, dueInMs: 1000}]});
 		await clock.tickAsync(400);
 		limits.tick();
@@ -105,24 +105,24 @@
 			}
 		}
 
-		directory.take(createNeed('a'));
+		directory.acquire(createNeed('a'));
 		expect(source.told.get('i0')?.wants).to.have.length(1);
 		for (let i = 0; i < 3; i += 1) {
-			directory.take({...createNeed(`b${i}`), excluded: new Set(['i1'])});
+			directory.acquire({...createNeed(`b${i}`), excluded: new Set(['i1'])});
 		}
 
 		await clock.tickAsync(120);
-		directory.take({...createNeed('a'), excluded: new Set(['i0'])});
+		directory.acquire({...createNeed('a'), excluded: new Set(['i0'])});
 		expect(source.told.get('i1')?.wants).to.have.length(1);
-		expect(directory.takeBetter('i1', createNeed('moving'), false)?.id).to.equal('i0');
+		expect(directory.acquireBetter('i1', createNeed('moving'), false)?.id).to.equal('i0');
 	});
 
 	it('tells nothing of an endpoint at which nothing waits and half of the slots are enough', () => {
 		const {directory} = share(1);
-		directory.take(createNeed('a'));
-		directory.take(createNeed('b'));
+		directory.acquire(createNeed('a'));
+		directory.acquire(createNeed('b'));
 		expect(source.told.size).to.equal(0);
-		directory.take(createNeed('c'));
+		directory.acquire(createNeed('c'));
 		expect(source.told.get('i0')).to.deep.equal({filled: 3, wants: []});
 	});
 
@@ -130,7 +130,7 @@
 		const {directory, limits} = share(1);
 		expect([limits.findFreePart('i0'), limits.findFreePart('unknown')]).to.deep.equal([2, 1]);
 		for (const id of ['a', 'b', 'c']) {
-			directory.take(createNeed(id));
+			directory.acquire(createNeed(id));
 		}
 
 		directory.recordHead('i0', {
@@ -150,7 +150,7 @@
 		directory.onChange(() => {
 			woken += 1;
 		});
-		directory.take(createNeed('a'));
+		directory.acquire(createNeed('a'));
 		directory.recordHead('i0', {
 			status: 503, headers: {}, isNotRun: true, stamp: undefined, load: {running: 4, waiting: 2, slots: 4}, weightVersion: undefined, isFramed: true, isClosing: false,
 		});
--- a/packages/direct/src/call-turn.ts
+++ b/packages/direct/src/call-admission.ts
@@ -8,13 +8,13 @@
 import type {WorkKind} from '@wasabiusher/slots';
 import type {RegisteredEndpoint, Route} from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
-import type {EndpointLine} from './endpoint-line.js';
+import type {EndpointLine} from './endpoint-queue.js';
 
 /** Part of its objective for which a call waits: one that is refused within a quarter can still be served elsewhere in time. */
-const patience = 0.2;
+const maxWaitRatio = 0.2;
 
 /** Part of its objective after which a call that comes back is due: sooner than newcomers. */
-const returnDue = 0.5;
+const returnDueRatio = 0.5;
 
 /** How a request waits, where that differs from a caller's. */
 export type CallPlace = {
@@ -28,25 +28,25 @@
 	patienceMs: number;
 };
 
-export type CallTurnSettings = {
+export type CallAdmissionSettings = {
 	directory: EndpointDirectory;
 	/** Where it waits; undefined if it is sent at once. */
 	line?: EndpointLine;
 };
 
 /** What a call is, for the line. */
-export type TurnRequest = {attemptId: string; method: string; path: string; customer?: string; deadlineAt: number; place?: CallPlace};
+export type AdmissionRequest = {attemptId: string; method: string; path: string; customer?: string; deadlineAt: number; place?: CallPlace};
 
-export type TurnAnswer = {kind: 'granted'; endpoint: RegisteredEndpoint} | {kind: 'refused'; reason: string; retryAfterMs: number} | {kind: 'none'};
+export type AdmissionOutcome = {kind: 'granted'; endpoint: RegisteredEndpoint} | {kind: 'refused'; reason: string; retryAfterMs: number} | {kind: 'none'};
 
 /** The turn of one call. */
-export class CallTurn {
-	readonly #settings: CallTurnSettings;
+export class CallAdmission {
+	readonly #settings: CallAdmissionSettings;
 	readonly #route: Route;
-	readonly #request: TurnRequest;
+	readonly #request: AdmissionRequest;
 	readonly #service: string;
 
-	constructor(settings: CallTurnSettings, route: Route, request: TurnRequest, service: string) {
+	constructor(settings: CallAdmissionSettings, route: Route, request: AdmissionRequest, service: string) {
 		this.#settings = settings;
 		this.#route = route;
 		this.#request = request;
@@ -54,19 +54,19 @@
 	}
 
 	/** Waits for the first endpoint of a call. */
-	async wait(signal: AbortSignal): Promise<TurnAnswer> {
+	async wait(signal: AbortSignal): Promise<AdmissionOutcome> {
 		const {line} = this.#settings;
 		if (!line) {
-			return this.#takeAny();
+			return this.#acquireNow();
 		}
 
 		const {attemptId, deadlineAt, place} = this.#request;
 		const now = performance.now();
-		const {patienceMs, ...placed} = place ?? this.#findPlace(line, now);
+		const {patienceMs, ...position} = place ?? this.#findPosition(line, now);
 		const answer = await line.wait({
-			...placed,
+			...position,
 			id: attemptId,
-			need: {service: this.#service, needsRoom: true},
+			need: {service: this.#service, needsHeadroom: true},
 			weight: 1,
 			deadlineAt: Math.min(deadlineAt, now + patienceMs),
 			workMs: line.findWorkMs(this.#service),
@@ -75,19 +75,19 @@
 			return {kind: 'none'};
 		}
 
-		const final = answer.kind === 'expired' ? this.#takeLast() : answer;
+		const final = answer.kind === 'expired' ? this.#acquireOrRefuse() : answer;
 		if (final.kind === 'refused') {
-			line.returns.note(this.#key);
+			line.returns.note(this.#returnKey);
 		}
 
 		return final;
 	}
 
 	/** An endpoint for a further attempt, at once; a caller's needs one that has room. */
-	take(excluded: ReadonlySet<string>): RegisteredEndpoint | undefined {
+	acquire(excluded: ReadonlySet<string>): RegisteredEndpoint | undefined {
 		const {directory, line} = this.#settings;
-		const withRoom = line && directory.take({service: this.#service, excluded, needsRoom: true});
-		return withRoom ?? (line && !this.#request.place ? undefined : directory.take({service: this.#service, excluded}));
+		const withHeadroom = line && directory.acquire({service: this.#service, excluded, needsHeadroom: true});
+		return withHeadroom ?? (line && !this.#request.place ? undefined : directory.acquire({service: this.#service, excluded}));
 	}
 
 	/** Learns how long an attempt took, in milliseconds. */
@@ -96,32 +96,32 @@
 	}
 
 	/** How a caller's request waits; one that was refused here before goes before newcomers, and is not refused again at once. */
-	#findPlace(line: EndpointLine, now: number): CallPlace & {isRefusable: boolean} {
+	#findPosition(line: EndpointLine, now: number): CallPlace & {isRefusable: boolean} {
 		const {objectiveMs, priority, name} = this.#route;
-		const isBack = line.returns.take(this.#key);
+		const isReturning = line.returns.take(this.#returnKey);
 		return {
-			kind: 'call', urgency: priority, turn: this.#request.customer ?? name, isRefusable: !isBack, patienceMs: patience * objectiveMs,
-			dueAt: now + ((isBack ? returnDue : 1) * objectiveMs),
+			kind: 'call', urgency: priority, turn: this.#request.customer ?? name, isRefusable: !isReturning, patienceMs: maxWaitRatio * objectiveMs,
+			dueAt: now + ((isReturning ? returnDueRatio : 1) * objectiveMs),
 		};
 	}
 
 	/** Names the request in all attempts of its caller. */
-	get #key(): string {
+	get #returnKey(): string {
 		const {customer, method, path} = this.#request;
 		return [customer, method, path].join(' ');
 	}
 
-	#takeAny(): TurnAnswer {
-		const endpoint = this.take(new Set());
+	#acquireNow(): AdmissionOutcome {
+		const endpoint = this.acquire(new Set());
 		return endpoint ? {kind: 'granted', endpoint} : {kind: 'none'};
 	}
 
 	/** What one gets that has waited for all of its time. */
-	#takeLast(): TurnAnswer {
+	#acquireOrRefuse(): AdmissionOutcome {
 		const {directory} = this.#settings;
-		const last = this.#takeAny();
-		return last.kind === 'granted' || this.#request.place
-			? last
-			: {kind: 'refused', reason: 'no slot became free in time', retryAfterMs: directory.planReturn(this.#service)};
+		const granted = this.#acquireNow();
+		return granted.kind === 'granted' || this.#request.place
+			? granted
+			: {kind: 'refused', reason: 'no slot became free in time', retryAfterMs: directory.planRetryAfterMs(this.#service)};
 	}
 }
--- a/packages/direct/src/call.ts
+++ b/packages/direct/src/call.ts
@@ -8,10 +8,10 @@
 import {
 	describeError, type Log, type Random, type RegisteredEndpoint, type Route,
 } from '@wasabiusher/shared';
-import {crasherReason, noteBrokenAttempt, type CrashWatch} from './crash-watch.js';
-import {CallTurn, type CallPlace} from './call-turn.js';
+import {poisonRequestReason, recordBrokenAttempt, type CrashWatch} from './poison-requests.js';
+import {CallAdmission, type CallPlace} from './call-admission.js';
 import type {EndpointDirectory} from './endpoint-directory.js';
-import type {EndpointLine} from './endpoint-line.js';
+import type {EndpointLine} from './endpoint-queue.js';
 import {BegunRuns, type RunMeter} from './run-meter.js';
 import {RestartWatch} from './restart-watch.js';
 
@@ -54,7 +54,7 @@
 };
 
 /** Status of an endpoint that has run a request and failed. */
-const failedStatus = 500;
+const serverErrorStatus = 500;
 
 /** Part of the objective after which a second attempt is started elsewhere; a retry can still meet the objective then. */
 const hedgeRatio = 0.5;
@@ -93,7 +93,7 @@
 	#failure: {answer: ServingAnswer; endpoint: string} | undefined;
 	#failureCount = 0;
 	#lastReason = 'no endpoint is registered';
-	readonly #turn: CallTurn;
+	readonly #admission: CallAdmission;
 	#hasWaited = false;
 	/** Why it was not let in; undefined if it was. */
 	#refusal: {reason: string; retryAfterMs: number} | undefined;
@@ -106,14 +106,14 @@
 		this.#signal = signal;
 		this.#service = chooseService(route, settings.random.next());
 		this.#mayHaveRun = new BegunRuns(request.customer, settings.meter);
-		this.#turn = new CallTurn(settings, route, request, this.#service);
+		this.#admission = new CallAdmission(settings, route, request, this.#service);
 	}
 
 	/** Calls until an answer has come, the time is up or nothing more may be tried. */
 	async run(): Promise<CallOutcome> {
 		const refusalMs = this.#settings.crashers?.findRefusalMs(this.#request);
 		if (refusalMs !== undefined) {
-			return {kind: 'not-run', reason: crasherReason, retryAfterMs: refusalMs};
+			return {kind: 'not-run', reason: poisonRequestReason, retryAfterMs: refusalMs};
 		}
 
 		const deadline = new AbortController();
@@ -157,7 +157,7 @@
 			const shouldStart = pending.size === 0 || performance.now() >= hedgeAt;
 			// Only the first attempt waits, while nothing else is under way.
 			// eslint-disable-next-line no-await-in-loop
-			const endpoint = shouldStart && this.#mayStart(pending.size) ? await this.#take(signal) : undefined;
+			const endpoint = shouldStart && this.#mayStart(pending.size) ? await this.#acquire(signal) : undefined;
 			if (endpoint) {
 				const attempt = this.#attempt(endpoint, signal);
 				pending.add(attempt);
@@ -175,7 +175,7 @@
 
 			// What is done next depends on this outcome.
 			// eslint-disable-next-line no-await-in-loop
-			const outcome = await waitFor([...pending, ended], hedgeAt);
+			const outcome = await raceUntil([...pending, ended], hedgeAt);
 			const final = outcome && this.#judge(outcome);
 			if (final) {
 				return final;
@@ -205,7 +205,7 @@
 
 		return this.#mayHaveRun.size > 0
 			? {kind: 'unknown', reason: this.#lastReason}
-			: {...(this.#refusal ?? {reason: this.#lastReason, retryAfterMs: this.#settings.directory.planReturn(this.#service)}), kind: 'not-run'};
+			: {...(this.#refusal ?? {reason: this.#lastReason, retryAfterMs: this.#settings.directory.planRetryAfterMs(this.#service)}), kind: 'not-run'};
 	}
 
 	/** Learns from an attempt; returns what to tell the caller if it is final. */
@@ -216,7 +216,7 @@
 			}
 
 			this.#failure = outcome;
-			this.#failureCount += outcome.answer.status === failedStatus ? 1 : 0;
+			this.#failureCount += outcome.answer.status === serverErrorStatus ? 1 : 0;
 			return undefined;
 		}
 
@@ -224,13 +224,13 @@
 		return undefined;
 	}
 
-	async #take(signal: AbortSignal): Promise<RegisteredEndpoint | undefined> {
+	async #acquire(signal: AbortSignal): Promise<RegisteredEndpoint | undefined> {
 		if (this.#hasWaited) {
-			return this.#turn.take(this.#excluded);
+			return this.#admission.acquire(this.#excluded);
 		}
 
 		this.#hasWaited = true;
-		const answer = await this.#turn.wait(signal);
+		const answer = await this.#admission.wait(signal);
 		this.#refusal = answer.kind === 'refused' ? answer : undefined;
 		return answer.kind === 'granted' ? answer.endpoint : undefined;
 	}
@@ -243,7 +243,7 @@
 		this.#excluded.add(id);
 		this.#mayHaveRun.add(id);
 		try {
-			const answer = await client.call(endpoint, this.#toServing(), AbortSignal.any([signal, restart.signal]));
+			const answer = await client.call(endpoint, this.#toServingRequest(), AbortSignal.any([signal, restart.signal]));
 			directory.recordHead(id, answer);
 			if (answer.isNotRun) {
 				this.#mayHaveRun.delete(id);
@@ -256,17 +256,17 @@
 
 			directory.recordPace(id, performance.now() - startedAt);
 			this.#settings.crashers?.noteFinished(this.#request);
-			this.#turn.recordWork(performance.now() - startedAt);
+			this.#admission.recordWork(performance.now() - startedAt);
 			return {kind: 'answered', answer, endpoint: id};
 		} catch (error) {
-			return this.#noteError(id, error, signal, restart);
+			return this.#recordError(id, error, signal, restart);
 		} finally {
 			restart.end();
 			directory.release(id);
 		}
 	}
 
-	#noteError(id: string, error: unknown, signal: AbortSignal, {hasRestarted}: RestartWatch): AttemptOutcome {
+	#recordError(id: string, error: unknown, signal: AbortSignal, {hasRestarted}: RestartWatch): AttemptOutcome {
 		const {directory, log} = this.#settings;
 		const reason = `${id}: ${describeError(error)}`;
 		this.#lastReason = reason;
@@ -280,7 +280,7 @@
 			directory.recordFailure(id);
 		}
 
-		noteBrokenAttempt(this.#settings.crashers, {
+		recordBrokenAttempt(this.#settings.crashers, {
 			endpoint: id, request: this.#request, isNotRun: isProvenNotRun(error), hasRestarted,
 		});
 		if (isProvenNotRun(error)) {
@@ -291,7 +291,7 @@
 		return {kind: 'unknown', endpoint: id, reason};
 	}
 
-	#toServing(): ServingRequest {
+	#toServingRequest(): ServingRequest {
 		const {deadlineAt, place, ...request} = this.#request;
 		return {...request, remainingMs: Math.max(1, Math.round(deadlineAt - performance.now()))};
 	}
@@ -312,17 +312,17 @@
 }
 
 /** The first outcome; undefined when it is time to look again before one has come. */
-async function waitFor(pending: ReadonlyArray<Promise<AttemptOutcome | undefined>>, lookAt: number): Promise<AttemptOutcome | undefined> {
+async function raceUntil(pending: ReadonlyArray<Promise<AttemptOutcome | undefined>>, wakeAt: number): Promise<AttemptOutcome | undefined> {
 	let timer: NodeJS.Timeout | undefined;
-	const look = new Promise<undefined>(resolve => {
-		if (Number.isFinite(lookAt)) {
+	const wake = new Promise<undefined>(resolve => {
+		if (Number.isFinite(wakeAt)) {
 			timer = setTimeout(() => {
 				resolve(undefined);
-			}, Math.max(0, lookAt - performance.now()));
+			}, Math.max(0, wakeAt - performance.now()));
 		}
 	});
 	try {
-		return await Promise.race([...pending, look]);
+		return await Promise.race([...pending, wake]);
 	} finally {
 		clearTimeout(timer);
 	}
--- a/packages/direct/src/endpoint-directory.ts
+++ b/packages/direct/src/endpoint-directory.ts
@@ -7,79 +7,79 @@
 import type {ServingHead} from '@wasabiusher/backends';
 import {dropOldest, type Random, type RegisteredEndpoint} from '@wasabiusher/shared';
 import type {RationSource} from '@wasabiusher/slots';
-import {EndpointClasses} from './endpoint-classes.js';
+import {PersistentSpeeds} from './persistent-speeds.js';
 import {chooseMove} from './endpoint-moves.js';
-import {hasForeignRoom, isFit, type EndpointNeed} from './endpoint-need.js';
-import {EndpointStanding} from './endpoint-standing.js';
+import {hasSharedHeadroom, isEligible, type EndpointRequirement} from './endpoint-requirement.js';
+import {EndpointStanding} from './endpoint-state.js';
 import {LoadWindows} from './load-windows.js';
-import {compareStarts} from './restart-watch.js';
+import {compareIncarnations} from './restart-watch.js';
 import {SlotLimits} from './slot-limits.js';
-import {ToldPaces} from './told-paces.js';
+import {ReportedPaces} from './reported-paces.js';
 
 /**
  * How long an endpoint whose registration has vanished is still asked if nothing else can be, in milliseconds.
  * Registrations vanish as well when the store was down and are back within about two seconds; endpoints that
  * leave serve on for two seconds at least.
  */
-const vanishedMs = 1200;
+const vanishedGraceMs = 1200;
 
 /** Endpoints that are remembered beyond that, the oldest are forgotten first: more than are hidden by an outage of the store while runs are open there. */
-const maxForgotten = 1000;
+const maxRetired = 1000;
 
 /** Registered endpoints and their standing. */
 export class EndpointDirectory {
 	/** Lasting speeds, also of endpoints that are gone. */
-	readonly classes = new EndpointClasses();
+	readonly classes = new PersistentSpeeds();
 	/** Which of them load weights. */
 	readonly loads: LoadWindows;
-	readonly #standings = new Map<string, EndpointStanding>();
+	readonly #states = new Map<string, EndpointStanding>();
 	/** Those whose registrations have vanished for longer than they are asked. */
-	readonly #forgotten = new Map<string, EndpointStanding>();
+	readonly #retired = new Map<string, EndpointStanding>();
 	readonly #random: Random;
 	readonly #policy: Policy;
-	readonly #lateness: Lateness;
-	readonly #listeners = new Set<(service: string) => void>();
+	readonly #eventLoopLag: Lateness;
+	readonly #changeListeners = new Set<(service: string) => void>();
 	/** By endpoint; called when it has started again. */
 	readonly #restartListeners = new Map<string, Set<() => void>>();
-	readonly #paces = new ToldPaces(this.classes);
-	#limits: SlotLimits | undefined;
-	#moves = 0;
+	readonly #reportedPaces = new ReportedPaces(this.classes);
+	#slotLimits: SlotLimits | undefined;
+	#moveCount = 0;
 	/** By service. */
-	readonly #returns = new Map<string, ReturnPlan>();
+	readonly #returnPlans = new Map<string, ReturnPlan>();
 
 	/** @param lateness - of this process; what it reads late says nothing of the endpoints */
-	constructor(random: Random, policy = defaultPolicy, lateness = new Lateness()) {
+	constructor(random: Random, policy = defaultPolicy, eventLoopLag = new Lateness()) {
 		this.#random = random;
 		this.#policy = policy;
-		this.#lateness = lateness;
+		this.#eventLoopLag = eventLoopLag;
 		this.loads = new LoadWindows((id, model) => this.findVersion(id, model), policy.tellsLoads);
 	}
 
 	/** Takes over a registration. Of one that has started again nothing that was seen holds, and what a former start wrote late is ignored. */
 	put(endpoint: RegisteredEndpoint): void {
-		const known = this.#standings.get(endpoint.id) ?? this.#forgotten.get(endpoint.id);
-		const relation = known ? compareStarts(endpoint, known.endpoint) : 'new';
+		const known = this.#states.get(endpoint.id) ?? this.#retired.get(endpoint.id);
+		const relation = known ? compareIncarnations(endpoint, known.endpoint) : 'new';
 		if (relation === 'former') {
 			return;
 		}
 
-		const standing = known && relation === 'same' ? known : this.#create(endpoint, known);
-		standing.register(endpoint);
-		this.classes.guess(standing);
+		const state = known && relation === 'same' ? known : this.#create(endpoint, known);
+		state.register(endpoint);
+		this.classes.guess(state);
 		for (const {model, version} of endpoint.models) {
-			standing.recordVersion(model, version);
+			state.recordVersion(model, version);
 			this.loads.end({endpoint: endpoint.id, model, version});
 		}
 
-		this.#standings.set(endpoint.id, standing);
-		this.#forgotten.delete(endpoint.id);
-		if (known && known !== standing) {
+		this.#states.set(endpoint.id, state);
+		this.#retired.delete(endpoint.id);
+		if (known && known !== state) {
 			for (const listener of this.#restartListeners.get(endpoint.id) ?? []) {
 				listener();
 			}
 		}
 
-		this.#notify(standing);
+		this.#notify(state);
 	}
 
 	/** Calls back when an endpoint has started again under its id; returns how to end that. */
@@ -96,65 +96,65 @@
 
 	/** Notes that a registration is gone; the endpoint is a last resort for a moment. */
 	remove(id: string): void {
-		const standing = this.#standings.get(id);
-		if (standing) {
-			standing.vanishedAt ??= performance.now();
+		const state = this.#states.get(id);
+		if (state) {
+			state.vanishedAt ??= performance.now();
 		}
 	}
 
 	/** The registration of an endpoint, as last known. */
 	get(id: string): RegisteredEndpoint | undefined {
-		return this.#standings.get(id)?.endpoint;
+		return this.#states.get(id)?.endpoint;
 	}
 
 	/** Registered endpoints of a service, also those that are leaving. */
 	list(service?: string): RegisteredEndpoint[] {
-		this.#forget();
-		return [...this.#standings.values()]
+		this.#retireVanished();
+		return [...this.#states.values()]
 			.filter(({endpoint, vanishedAt}) => vanishedAt === undefined && (service === undefined || endpoint.service === service))
 			.map(({endpoint}) => endpoint);
 	}
 
 	/** All endpoints with what this process has seen of them, for operators. */
 	listStandings(): readonly EndpointStanding[] {
-		return [...this.#standings.values()].filter(({vanishedAt}) => vanishedAt === undefined);
+		return [...this.#states.values()].filter(({vanishedAt}) => vanishedAt === undefined);
 	}
 
 	/** Newest version of a model that an endpoint is known to hold; undefined if it does not hold it. */
 	findVersion(id: string, model: string): number | undefined {
-		return this.#standings.get(id)?.findVersion(model);
+		return this.#states.get(id)?.findVersion(model);
 	}
 
 	/** Requests of this process that are open at an endpoint. */
 	countOpen(id: string): number {
-		return this.#standings.get(id)?.open ?? 0;
+		return this.#states.get(id)?.open ?? 0;
 	}
 
 	/** Time after which a caller that a service has no room for should come back, in milliseconds. */
-	planReturn(service: string): number {
-		const plan = this.#returns.get(service) ?? new ReturnPlan();
-		this.#returns.set(service, plan);
-		const serving = [...this.#standings.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
-		return plan.plan(serving.map(standing => standing.toRoom()));
+	planRetryAfterMs(service: string): number {
+		const plan = this.#returnPlans.get(service) ?? new ReturnPlan();
+		this.#returnPlans.set(service, plan);
+		const serving = [...this.#states.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
+		return plan.plan(serving.map(state => state.toHeadroom()));
 	}
 
 	/** Calls back with the service whenever an endpoint may have become free or fit; returns how to end that. */
 	onChange(listener: (service: string) => void): () => void {
-		this.#listeners.add(listener);
+		this.#changeListeners.add(listener);
 		return () => {
-			this.#listeners.delete(listener);
+			this.#changeListeners.delete(listener);
 		};
 	}
 
 	/** Chooses an endpoint for an attempt and counts it as open there; undefined if none can be asked now. */
-	take(need: EndpointNeed): RegisteredEndpoint | undefined {
-		this.#forget();
-		const fits = this.#listFits(need);
-		const chosen = this.#choose(fits.filter(({vanishedAt}) => vanishedAt === undefined), need) ?? this.#choose(fits.filter(({vanishedAt}) => vanishedAt !== undefined), need);
+	acquire(requirement: EndpointRequirement): RegisteredEndpoint | undefined {
+		this.#retireVanished();
+		const eligible = this.#listEligible(requirement);
+		const chosen = this.#choose(eligible.filter(({vanishedAt}) => vanishedAt === undefined), requirement) ?? this.#choose(eligible.filter(({vanishedAt}) => vanishedAt !== undefined), requirement);
 		if (chosen) {
-			this.#begin(chosen, need);
+			this.#begin(chosen, requirement);
 		} else {
-			this.#limits?.noteUnmet(need, anyRoom => this.#listFits({...need, ...anyRoom}));
+			this.#slotLimits?.recordUnmet(requirement, overrides => this.#listEligible({...requirement, ...overrides}));
 		}
 
 		return chosen?.endpoint;
@@ -162,24 +162,24 @@
 
 	/** Shares slots with other hosts by rations from now on. */
 	shareSlots(source: RationSource): SlotLimits {
-		const limits = new SlotLimits(source, id => this.#standings.get(id));
-		this.#limits = limits;
+		const slotLimits = new SlotLimits(source, id => this.#states.get(id));
+		this.#slotLimits = slotLimits;
 		source.onChange(() => {
-			const services = new Set([...this.#standings.values()].map(({endpoint: {service}}) => service));
+			const services = new Set([...this.#states.values()].map(({endpoint: {service}}) => service));
 			for (const service of services) {
-				this.#notifyOf(service);
+				this.#notifyService(service);
 			}
 		});
-		return limits;
+		return slotLimits;
 	}
 
 	/** Ends what `take` has begun. */
 	release(id: string): void {
-		const standing = this.#standings.get(id) ?? this.#forgotten.get(id);
-		if (standing) {
-			standing.end();
-			this.#limits?.note(standing);
-			this.#notify(standing);
+		const state = this.#states.get(id) ?? this.#retired.get(id);
+		if (state) {
+			state.end();
+			this.#slotLimits?.recordEnd(state);
+			this.#notify(state);
 		}
 	}
 
@@ -189,39 +189,39 @@
 	 * @param model - what was asked for; an endpoint that has room, refuses it and does not hold its newest version loads it
 	 */
 	recordHead(id: string, head: ServingHead, model?: string): void {
-		const standing = this.#standings.get(id);
-		standing?.recordHead(head);
-		this.#limits?.noteHead(standing, head);
-		this.loads.noteHead(id, head, model);
+		const state = this.#states.get(id);
+		state?.recordHead(head);
+		this.#slotLimits?.recordHead(state, head);
+		this.loads.recordHead(id, head, model);
 	}
 
 	/** Notes that another server has the address, so this one is gone. */
 	recordMisdirected(id: string): void {
-		this.#standings.delete(id);
+		this.#states.delete(id);
 	}
 
 	/** Notes that nothing or nothing sound came back. */
 	recordFailure(id: string): void {
-		this.#standings.get(id)?.recordFailure();
+		this.#states.get(id)?.recordFailure();
 	}
 
 	/** Notes that nothing has come from an endpoint for long though a run was open there. */
 	recordSilence(id: string): void {
-		this.#standings.get(id)?.recordSilence();
+		this.#states.get(id)?.recordSilence();
 	}
 
 	/** When an answer or an event last came from an endpoint, on the monotonic clock. */
-	findHeardAt(id: string): number {
-		return this.#standings.get(id)?.heardAt ?? Number.NEGATIVE_INFINITY;
+	findLastReceivedAt(id: string): number {
+		return this.#states.get(id)?.lastReceivedAt ?? Number.NEGATIVE_INFINITY;
 	}
 
 	/** Learns how long a unit of work took, in milliseconds. */
 	recordPace(id: string, unitMs: number): void {
-		const standing = this.#standings.get(id);
-		if (this.#lateness.isLate) {
-			standing?.noteHeard();
+		const state = this.#states.get(id);
+		if (this.#eventLoopLag.isLate) {
+			state?.recordReceived();
 		} else {
-			standing?.recordPace(unitMs);
+			state?.recordPace(unitMs);
 		}
 	}
 
@@ -230,39 +230,39 @@
 	 * came, while single units that come together after a pause on the way seem to take no time.
 	 */
 	recordRunPace(id: string, unitMs: number): void {
-		const standing = this.#standings.get(id);
-		standing?.recordRunPace(unitMs);
-		if (standing) {
-			this.classes.record(standing);
+		const state = this.#states.get(id);
+		state?.recordRunPace(unitMs);
+		if (state) {
+			this.classes.record(state);
 		}
 	}
 
 	/** The lasting speed of an endpoint as measured by any process, in milliseconds for a unit of work; undefined until known. */
 	findClassMs(id: string): number | undefined {
-		const standing = this.#standings.get(id);
-		return this.#policy.plansTexts ? standing?.speed.classMs : standing?.bestMs;
+		const state = this.#states.get(id);
+		return this.#policy.plansTexts ? state?.speed.classMs : state?.bestMs;
 	}
 
 	/** Guesses lasting speeds by `classes`, once others have told some. */
 	guessClasses(): void {
-		for (const standing of this.#standings.values()) {
-			this.classes.guess(standing);
+		for (const state of this.#states.values()) {
+			this.classes.guess(state);
 		}
 	}
 
 	/** Best paces of late that this process has measured, in milliseconds; of `most` endpoints at most, by turns. */
-	listOwnPaces(most: number): Record<string, number> {
-		return this.#paces.list([...this.#standings.values()], most);
+	listOwnPaces(maxCount: number): Record<string, number> {
+		return this.#reportedPaces.list([...this.#states.values()], maxCount);
 	}
 
 	/** Learns what other processes have measured. */
 	learnPaces(paces: Readonly<Record<string, number>>): void {
-		this.#paces.learn(paces, id => this.#standings.get(id));
+		this.#reportedPaces.record(paces, id => this.#states.get(id));
 	}
 
 	/** The best pace of late of an endpoint as measured by any process, in milliseconds. */
-	findBestPace(id: string): number | undefined {
-		return this.#standings.get(id)?.bestMs;
+	findBestPaceMs(id: string): number | undefined {
+		return this.#states.get(id)?.bestMs;
 	}
 
 	/**
@@ -271,21 +271,21 @@
 	 *
 	 * @param isLong - whether the run has made many events already, and since it was last moved
 	 */
-	takeBetter(id: string, need: EndpointNeed, isLong: boolean): RegisteredEndpoint | undefined {
-		const current = this.#standings.get(id);
-		if (!this.#policy.movesRuns || !current || this.#lateness.isLate) {
+	acquireBetter(id: string, requirement: EndpointRequirement, isLong: boolean): RegisteredEndpoint | undefined {
+		const current = this.#states.get(id);
+		if (!this.#policy.movesRuns || !current || this.#eventLoopLag.isLate) {
 			return undefined;
 		}
 
-		const others = this.#listFits({...need, waiter: undefined}).filter(standing => standing !== current && standing.vanishedAt === undefined);
-		const better = listBetter(current.toCandidate(undefined), others.map(standing => standing.toCandidate(need.warmKey, need.homes)), isLong);
+		const others = this.#listEligible({...requirement, waiter: undefined}).filter(state => state !== current && state.vanishedAt === undefined);
+		const better = listBetter(current.toCandidate(undefined), others.map(state => state.toCandidate(requirement.warmKey, requirement.dedicated)), isLong);
 		const chosen = chooseDirect(better, this.#random.next());
-		const standing = chosen && this.#standings.get(chosen.id);
-		if (standing) {
-			this.#begin(standing, need);
+		const state = chosen && this.#states.get(chosen.id);
+		if (state) {
+			this.#begin(state, requirement);
 		}
 
-		return standing?.endpoint;
+		return state?.endpoint;
 	}
 
 	/**
@@ -293,105 +293,110 @@
 	 *
 	 * @param madeHere - events that it has made at its present endpoint
 	 */
-	takeFaster(id: string, need: EndpointNeed & {units: number}, madeHere: number): RegisteredEndpoint | undefined {
-		const current = this.#standings.get(id);
-		if (!this.#policy.movesRuns || !current || this.#lateness.isLate) {
+	acquireFaster(id: string, requirement: EndpointRequirement & {units: number}, madeHere: number): RegisteredEndpoint | undefined {
+		const current = this.#states.get(id);
+		if (!this.#policy.movesRuns || !current || this.#eventLoopLag.isLate) {
 			return undefined;
 		}
 
-		const {units: unitsLeft, dueInMs, warmKey, homes} = need;
-		const standing = chooseMove({
-			text: {madeHere, unitsLeft, dueInMs}, current, listOthers: () => this.#listFits({...need, waiter: undefined}).filter(({vanishedAt}) => vanishedAt === undefined), warmKey, homes, chance: this.#random.next(),
+		const {units: unitsLeft, dueInMs, warmKey, dedicated} = requirement;
+		const state = chooseMove({
+			text: {madeHere, unitsLeft, dueInMs},
+			current,
+			listEligible: () => this.#listEligible({...requirement, waiter: undefined}).filter(({vanishedAt}) => vanishedAt === undefined),
+			warmKey,
+			dedicated,
+			chance: this.#random.next(),
 		});
-		if (standing) {
-			this.#moves += 1;
-			this.#begin(standing, need);
+		if (state) {
+			this.#moveCount += 1;
+			this.#begin(state, requirement);
 		}
 
-		return standing?.endpoint;
+		return state?.endpoint;
 	}
 
 	/** Texts that have left an endpoint for a faster one since the start. */
 	get counts(): {movedTexts: number} {
-		return {movedTexts: this.#moves};
+		return {movedTexts: this.#moveCount};
 	}
 
 	/** Learns which version of a model an endpoint serves. */
 	recordVersion(id: string, model: string, version: number): void {
-		const standing = this.#standings.get(id);
-		const isNew = standing?.recordVersion(model, version) ?? false;
-		if ((this.loads.end({endpoint: id, model, version}) || isNew) && standing) {
-			this.#notify(standing);
+		const state = this.#states.get(id);
+		const isNew = state?.recordVersion(model, version) ?? false;
+		if ((this.loads.end({endpoint: id, model, version}) || isNew) && state) {
+			this.#notify(state);
 		}
 	}
 
 	/** Leaves an endpoint alone for a time, such as while it loads weights. */
 	pause(id: string, pauseMs: number): void {
-		this.#standings.get(id)?.pause(pauseMs);
+		this.#states.get(id)?.pause(pauseMs);
 	}
 
 	/** Endpoints that can be asked now. */
-	#listFits(need: EndpointNeed): EndpointStanding[] {
-		const slowMs = need.avoidsSlow ? this.#findSlowPace(need.service) : undefined;
-		const model = need.least?.model ?? need.exact?.model;
-		const allows = (standing: EndpointStanding) => need.waiter === undefined || this.#limits === undefined || this.#limits.allows(standing);
-		const fits = [...this.#standings.values()].filter(standing => standing.isAvailable && isFit(standing, need) && !standing.isSlower(slowMs)
-			&& (model === undefined || !this.loads.covers(standing.endpoint.id, model)) && allows(standing));
-		const {homes} = need;
-		if (!homes) {
-			return fits;
+	#listEligible(requirement: EndpointRequirement): EndpointStanding[] {
+		const slowPaceMs = requirement.avoidsSlow ? this.#findSlowPace(requirement.service) : undefined;
+		const model = requirement.oldestVersion?.model ?? requirement.exactVersion?.model;
+		const allows = (state: EndpointStanding) => requirement.waiter === undefined || this.#slotLimits === undefined || this.#slotLimits.allows(state);
+		const eligible = [...this.#states.values()].filter(state => state.isAvailable && isEligible(state, requirement) && !state.isSlower(slowPaceMs)
+			&& (model === undefined || !this.loads.isLoading(state.endpoint.id, model)) && allows(state));
+		const {dedicated} = requirement;
+		if (!dedicated) {
+			return eligible;
 		}
 
-		const isProbing = [...this.#standings.values()].some(({endpoint, awaitsHead}) => !homes.has(endpoint.id) && endpoint.service === need.service && awaitsHead);
-		return fits.filter(standing => homes.has(standing.endpoint.id) || (standing.isLoadKnown ? hasForeignRoom(standing) : standing.open === 0 && !isProbing));
+		const isProbing = [...this.#states.values()].some(({endpoint, awaitsHead}) => !dedicated.has(endpoint.id) && endpoint.service === requirement.service && awaitsHead);
+		return eligible.filter(state => dedicated.has(state.endpoint.id) || (state.isLoadKnown ? hasSharedHeadroom(state) : state.open === 0 && !isProbing));
 	}
 
 	#findSlowPace(service: string): number | undefined {
-		const serving = [...this.#standings.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
-		return findSlowPace(serving.map(({lastingMs}) => lastingMs));
+		const serving = [...this.#states.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
+		return findSlowPace(serving.map(({persistentMs: lastingMs}) => lastingMs));
 	}
 
-	#choose(standings: readonly EndpointStanding[], need: EndpointNeed): EndpointStanding | undefined {
-		const {units, dueInMs} = need;
+	#choose(states: readonly EndpointStanding[], requirement: EndpointRequirement): EndpointStanding | undefined {
+		const {units, dueInMs} = requirement;
 		const text = units === undefined || !this.#policy.plansTexts ? undefined : {units, dueInMs};
-		const chosen = chooseDirect(standings.map(standing => standing.toCandidate(need.warmKey, need.homes)), this.#random.next(), text);
-		return chosen && this.#standings.get(chosen.id);
+		const chosen = chooseDirect(states.map(state => state.toCandidate(requirement.warmKey, requirement.dedicated)), this.#random.next(), text);
+		return chosen && this.#states.get(chosen.id);
 	}
 
-	#begin(standing: EndpointStanding, {warmKey, waiter}: EndpointNeed): void {
-		standing.begin(warmKey);
-		this.#limits?.noteBegun(standing, waiter);
+	#begin(state: EndpointStanding, {warmKey, waiter}: EndpointRequirement): void {
+		state.begin(warmKey);
+		this.#slotLimits?.recordBegun(state, waiter);
 	}
 
-	#create(endpoint: RegisteredEndpoint, former: EndpointStanding | undefined): EndpointStanding {
+	#create(endpoint: RegisteredEndpoint, previous: EndpointStanding | undefined): EndpointStanding {
 		this.loads.forget(endpoint.id);
-		return new EndpointStanding(endpoint, this.#policy, former?.countEnds());
+		return new EndpointStanding(endpoint, this.#policy, previous?.countOpenAttempts());
 	}
 
-	#forget(): void {
+	#retireVanished(): void {
 		const now = performance.now();
-		for (const [id, standing] of this.#standings) {
-			const {vanishedAt} = standing;
-			if (vanishedAt !== undefined && now - vanishedAt > vanishedMs) {
-				this.#standings.delete(id);
-				this.#remember(id, standing);
+		for (const [id, state] of this.#states) {
+			const {vanishedAt} = state;
+			if (vanishedAt !== undefined && now - vanishedAt > vanishedGraceMs) {
+				this.#states.delete(id);
+				this.#retire(id, state);
 				this.loads.forget(id);
 			}
 		}
 	}
 
 	/** Keeps what is known of an endpoint that is not asked any more: its registration may come back, and its open attempts end one day. */
-	#remember(id: string, standing: EndpointStanding): void {
-		this.#forgotten.set(id, standing);
-		dropOldest(this.#forgotten, maxForgotten);
+	#retire(id: string, state: EndpointStanding): void {
+		this.#retired.set(id, state);
+		dropOldest(this.#retired, maxRetired);
 	}
 
 	#notify({endpoint: {service}}: EndpointStanding): void {
-		this.#notifyOf(service);
+		this.#notifyService(service);
 	}
 
-	#notifyOf(service: string): void {
-		for (const listener of this.#listeners) {
+	#notifyService(service: string): void {
+		for (const listener of this.#changeListeners) {
 			listener(service);
 		}
 	}
--- a/packages/direct/src/endpoint-moves.ts
+++ b/packages/direct/src/endpoint-moves.ts
@@ -4,7 +4,7 @@
 import {
 	chooseDirect, gainsBy, isAtRisk, type MovableText,
 } from '@wasabiusher/decisions';
-import type {EndpointStanding} from './endpoint-standing.js';
+import type {EndpointStanding} from './endpoint-state.js';
 
 /** What moves are decided by. */
 export type MoveRequest = {
@@ -12,24 +12,24 @@
 	current: EndpointStanding;
 	/** Names what it shares with other texts. */
 	warmKey: string | undefined;
-	homes: ReadonlySet<string> | undefined;
+	dedicated: ReadonlySet<string> | undefined;
 	/** A number in [0, 1). */
 	chance: number;
 	/** Endpoints that could take it now; asked for only if the text is at risk, since each event of each text comes here. */
-	listOthers(): EndpointStanding[];
+	listEligible(): EndpointStanding[];
 };
 
 /** The endpoint at which a text had better go on; undefined if it stays. */
-export function chooseMove({text, current, listOthers, warmKey, homes, chance}: MoveRequest): EndpointStanding | undefined {
+export function chooseMove({text, current, listEligible, warmKey, dedicated, chance}: MoveRequest): EndpointStanding | undefined {
 	const {speed} = current;
 	if (!isAtRisk(text, speed)) {
 		return undefined;
 	}
 
-	const better = new Map(listOthers().flatMap(standing => {
-		const candidate = standing.toCandidate(warmKey, homes);
-		const hasRoom = standing !== current && candidate.open + candidate.others < candidate.slots;
-		return hasRoom && gainsBy(text, speed, standing.speed) ? [[candidate, standing] as const] : [];
+	const better = new Map(listEligible().flatMap(state => {
+		const candidate = state.toCandidate(warmKey, dedicated);
+		const hasRoom = state !== current && candidate.open + candidate.others < candidate.slots;
+		return hasRoom && gainsBy(text, speed, state.speed) ? [[candidate, state] as const] : [];
 	}));
 	const chosen = chooseDirect([...better.keys()], chance);
 	return chosen && better.get(chosen);
--- a/packages/direct/src/endpoint-standing.ts
+++ b/packages/direct/src/endpoint-state.ts
@@ -9,7 +9,7 @@
 
 /** First and longest time for which an endpoint that could not be reached is left alone, in milliseconds. */
 const firstPauseMs = 200;
-const longestPauseMs = 2000;
+const maxPauseMs = 2000;
 
 /** Pauses after a refusal, in milliseconds: some requests' service time, and a sixth of the time that loading takes. */
 const refusalPause = {firstMs: 50, longestMs: 150};
@@ -18,10 +18,10 @@
 const silencePause = {firstMs: 200, longestMs: 2000};
 
 /** Time after which what an endpoint told of its load counts for nothing, in milliseconds. */
-const loadAgeMs = 1000;
+const maxLoadAgeMs = 1000;
 
 /** Time for which a connection is open after its last request, in milliseconds, as endpoints commonly keep them. */
-const connectedMs = 3000;
+const keepAliveMs = 3000;
 
 /** Most shared parts remembered for one endpoint; older ones are forgotten first. */
 const maxWarmKeys = 256;
@@ -41,30 +41,30 @@
 	readonly #refusals = new AttemptPause(refusalPause);
 	readonly #silences = new AttemptPause(silencePause);
 	/** When anything last came from it. */
-	#heardAt = Number.NEGATIVE_INFINITY;
+	#lastReceivedAt = Number.NEGATIVE_INFINITY;
 	/** Newest version seen of each model; a running endpoint never goes back. */
 	readonly #versions = new Map<string, number>();
 	readonly #warmKeys = new Set<string>();
 	#open = 0;
 	/** Attempts at an earlier start under this id that have not been ended yet. */
-	#formerOpen: number;
+	#previousOpen: number;
 	#load: EndpointLoad | undefined;
 	#loadAt = 0;
 	/** When the last attempt began, and when an answer last did. */
-	#begunAt = Number.NEGATIVE_INFINITY;
-	#headAt = Number.NEGATIVE_INFINITY;
+	#lastBegunAt = Number.NEGATIVE_INFINITY;
+	#lastHeadAt = Number.NEGATIVE_INFINITY;
 	#openAtLoad = 0;
 	#pausedUntil = 0;
 	#failures = 0;
 	/** When a request of this process last ended there. */
-	#usedAt = Number.NEGATIVE_INFINITY;
+	#lastEndedAt = Number.NEGATIVE_INFINITY;
 	readonly #policy: Policy;
 
 	/** @param formerOpen - attempts at an earlier start whose ends are still to come */
 	constructor(endpoint: RegisteredEndpoint, policy = defaultPolicy, formerOpen = 0) {
 		this.endpoint = endpoint;
 		this.#policy = policy;
-		this.#formerOpen = formerOpen;
+		this.#previousOpen = formerOpen;
 	}
 
 	/** Takes over a registration of the same start. One that tells its start never comes back from draining, whatever is written late. */
@@ -75,8 +75,8 @@
 	}
 
 	/** Attempts whose ends are still to come, at this start and at earlier ones. */
-	countEnds(): number {
-		return this.#open + this.#formerOpen;
+	countOpenAttempts(): number {
+		return this.#open + this.#previousOpen;
 	}
 
 	/** Requests of this process that are open there. */
@@ -85,13 +85,13 @@
 	}
 
 	/** When an answer or an event last came from it, on the monotonic clock. */
-	get heardAt(): number {
-		return this.#heardAt;
+	get lastReceivedAt(): number {
+		return this.#lastReceivedAt;
 	}
 
 	/** Whether it told its load lately. */
 	get isLoadKnown(): boolean {
-		return this.#load !== undefined && performance.now() - this.#loadAt < loadAgeMs;
+		return this.#load !== undefined && performance.now() - this.#loadAt < maxLoadAgeMs;
 	}
 
 	/** Time since it last told its load, in milliseconds. */
@@ -101,7 +101,7 @@
 
 	/** Whether an attempt is open there that has not been answered yet. */
 	get awaitsHead(): boolean {
-		return this.#open > 0 && this.#begunAt > this.#headAt;
+		return this.#open > 0 && this.#lastBegunAt > this.#lastHeadAt;
 	}
 
 	/** Requests of other processes there, as last told. */
@@ -111,18 +111,18 @@
 	}
 
 	/** Time for a unit of work without what passes within tenths of a second, in milliseconds; undefined until measured. */
-	get lastingMs(): number | undefined {
+	get persistentMs(): number | undefined {
 		const {classMs, spell} = this.#model.speed;
 		return classMs === undefined ? this.#model.recentMs : classMs * spell;
 	}
 
 	/** Whether it is lastingly slower than a pace, as far as both are known. */
 	isSlower(paceMs: number | undefined): boolean {
-		return paceMs !== undefined && this.#policy.weighsPaces && (this.lastingMs ?? 0) > paceMs;
+		return paceMs !== undefined && this.#policy.weighsPaces && (this.persistentMs ?? 0) > paceMs;
 	}
 
 	/** Whether it has probably room for one more request now. */
-	get hasExpectedRoom(): boolean {
+	get hasExpectedHeadroom(): boolean {
 		return isRoomExpected({
 			slots: this.endpoint.slots, open: this.#open, others: this.others, ageMs: performance.now() - this.#loadAt, workMs: this.paceMs,
 		});
@@ -157,7 +157,7 @@
 	/** Notes that an attempt begins there. */
 	begin(warmKey: string | undefined): void {
 		this.#open += 1;
-		this.#begunAt = performance.now();
+		this.#lastBegunAt = performance.now();
 		this.#refusals.begin();
 		this.#silences.begin();
 		if (warmKey === undefined) {
@@ -171,23 +171,23 @@
 
 	/** Notes that an attempt has ended. */
 	end(): void {
-		if (this.#formerOpen > 0) {
+		if (this.#previousOpen > 0) {
 			// Those at the earlier start are ended at once, so they come first.
-			this.#formerOpen -= 1;
+			this.#previousOpen -= 1;
 			return;
 		}
 
 		this.#open = Math.max(0, this.#open - 1);
 		this.#refusals.end();
 		this.#silences.end();
-		this.#usedAt = performance.now();
+		this.#lastEndedAt = performance.now();
 	}
 
 	/** Learns from the beginning of an answer. */
 	recordHead({load, isNotRun, status}: ServingHead): void {
 		this.#failures = 0;
-		this.#headAt = performance.now();
-		this.#heardAt = this.#headAt;
+		this.#lastHeadAt = performance.now();
+		this.#lastReceivedAt = this.#lastHeadAt;
 		this.#silences.recordSuccess();
 		if (load) {
 			this.#load = load;
@@ -205,7 +205,7 @@
 
 	/** Notes that nothing or nothing sound came back. */
 	recordFailure(): void {
-		this.#pausedUntil = performance.now() + Math.min(longestPauseMs, firstPauseMs * (2 ** this.#failures));
+		this.#pausedUntil = performance.now() + Math.min(maxPauseMs, firstPauseMs * (2 ** this.#failures));
 		this.#failures += 1;
 	}
 
@@ -220,13 +220,13 @@
 	}
 
 	/** Notes that something has come from it. */
-	noteHeard(): void {
-		this.#heardAt = performance.now();
+	recordReceived(): void {
+		this.#lastReceivedAt = performance.now();
 	}
 
 	/** Learns how long a unit of work took, in milliseconds. */
 	recordPace(unitMs: number): void {
-		this.noteHeard();
+		this.recordReceived();
 		this.#model.recordUnit(unitMs);
 	}
 
@@ -238,7 +238,7 @@
 	}
 
 	/** Takes over a lasting class that was measured elsewhere or earlier, in milliseconds for a unit. */
-	guessClass(unitMs: number): void {
+	guessPersistentSpeed(unitMs: number): void {
 		this.#model.guessClass(unitMs);
 	}
 
@@ -248,12 +248,12 @@
 	}
 
 	/** Its lasting class, if this process has measured it well enough to tell others, in milliseconds for a unit. */
-	get ownClassMs(): number | undefined {
+	get ownPersistentMs(): number | undefined {
 		return this.#model.ownClassMs;
 	}
 
 	/** Learns what another process has measured as its best pace, in milliseconds. */
-	learnPace(unitMs: number): void {
+	recordReportedPace(unitMs: number): void {
 		this.#best.record(unitMs);
 	}
 
@@ -268,7 +268,7 @@
 	}
 
 	/** What is known of its room; what was told of its load lags, so that what is open here counts at least. */
-	toRoom(): EndpointRoom {
+	toHeadroom(): EndpointRoom {
 		const {slots} = this.endpoint;
 		const occupied = this.#open + this.others;
 		return {
@@ -282,7 +282,7 @@
 	}
 
 	/** What the choice between endpoints needs to know. */
-	toCandidate(warmKey: string | undefined, homes?: ReadonlySet<string>): DirectCandidate {
+	toCandidate(warmKey: string | undefined, dedicated?: ReadonlySet<string>): DirectCandidate {
 		const now = performance.now();
 		const {id, slots} = this.endpoint;
 		const {weighsPaces, plansTexts, prefersWarm, prefersConnected} = this.#policy;
@@ -294,8 +294,8 @@
 			paceMs: weighsPaces ? this.paceMs : undefined,
 			moment: weighsPaces && plansTexts ? this.#model.moment : 1,
 			isWarm: prefersWarm && warmKey !== undefined && this.#warmKeys.has(warmKey),
-			isHome: homes?.has(id) ?? false,
-			isConnected: prefersConnected && now - this.#usedAt < connectedMs,
+			isHome: dedicated?.has(id) ?? false,
+			isConnected: prefersConnected && now - this.#lastEndedAt < keepAliveMs,
 		};
 	}
 }
--- a/packages/direct/src/load-news.ts
+++ b/packages/direct/src/load-announcements.ts
@@ -15,7 +15,7 @@
 const gatherMs = 5;
 
 /** Least time between two rows, in milliseconds: a twentieth of a load. */
-const rowMs = 50;
+const minRowIntervalMs = 50;
 
 /** Rows that are written in turn. Who follows sees only the newest value of each, so that a row must not be written anew before all have read it. */
 const rowCount = 16;
@@ -23,14 +23,14 @@
 /** Most loads in one row; a row of 6 KB is read as fast as an empty one. */
 const maxLoads = 100;
 
-const newsSchema = z.object({
+const rowSchema = z.object({
 	/** Differs for each writer; a row of another one may come late. */
 	writer: z.string(),
 	/** Endpoint, model, version, and the time for which the load is expected to go on from now, in milliseconds; 0 if it was not taken. */
 	loads: z.array(z.tuple([z.string(), z.string(), z.int(), z.number()])).max(maxLoads),
 });
 
-export type LoadNewsSettings = {
+export type LoadAnnouncementsSettings = {
 	rows: RowStore;
 	/** Where the rows lie: a table that all hosts follow, and a part of it that holds nothing else and is not read at the start. */
 	table: string;
@@ -49,21 +49,21 @@
 		loadRows: 0, loadRowsFailed: 0, loadsHeard: 0, loadRowsUnreadable: 0,
 	};
 
-	readonly #settings: LoadNewsSettings;
+	readonly #settings: LoadAnnouncementsSettings;
 	/** What is to be told, by endpoint and model. */
-	readonly #waiting = new Map<string, {load: WeightLoad; forMs: number}>();
+	readonly #pending = new Map<string, {load: WeightLoad; forMs: number}>();
 	#timer: NodeJS.Timeout | undefined;
-	#wroteAt = Number.NEGATIVE_INFINITY;
+	#lastWriteAt = Number.NEGATIVE_INFINITY;
 	#nextRow = 0;
 
-	constructor(settings: LoadNewsSettings) {
+	constructor(settings: LoadAnnouncementsSettings) {
 		this.#settings = settings;
 	}
 
 	/** Tells all hosts of a load soon; returns at once. */
 	tell(load: WeightLoad, forMs: number): void {
-		this.#waiting.set(`${load.endpoint} ${load.model}`, {load, forMs});
-		this.#writeSoon();
+		this.#pending.set(`${load.endpoint} ${load.model}`, {load, forMs});
+		this.#scheduleWrite();
 	}
 
 	/** Takes over a row; one that can't be read is counted. */
@@ -74,12 +74,12 @@
 
 		const {writer, log, onLoad} = this.#settings;
 		try {
-			const news = newsSchema.parse(JSON.parse(Buffer.from(value).toString()));
-			if (news.writer === writer) {
+			const row = rowSchema.parse(JSON.parse(Buffer.from(value).toString()));
+			if (row.writer === writer) {
 				return;
 			}
 
-			for (const [endpoint, model, version, forMs] of news.loads) {
+			for (const [endpoint, model, version, forMs] of row.loads) {
 				this.counts.loadsHeard += 1;
 				onLoad({endpoint, model, version}, forMs);
 			}
@@ -93,30 +93,30 @@
 	stop(): void {
 		clearTimeout(this.#timer);
 		this.#timer = undefined;
-		this.#waiting.clear();
+		this.#pending.clear();
 	}
 
-	#writeSoon(): void {
+	#scheduleWrite(): void {
 		this.#timer ??= setTimeout(() => {
 			this.#timer = undefined;
 			void this.#write();
-		}, Math.max(gatherMs, this.#wroteAt + rowMs - performance.now()));
+		}, Math.max(gatherMs, this.#lastWriteAt + minRowIntervalMs - performance.now()));
 	}
 
 	/** Never rejects. */
 	async #write(): Promise<void> {
 		const {rows, table, part, writer, log} = this.#settings;
-		this.#wroteAt = performance.now();
-		const told = [...this.#waiting].slice(0, maxLoads);
-		for (const [name] of told) {
-			this.#waiting.delete(name);
+		this.#lastWriteAt = performance.now();
+		const announced = [...this.#pending].slice(0, maxLoads);
+		for (const [name] of announced) {
+			this.#pending.delete(name);
 		}
 
-		if (this.#waiting.size > 0) {
-			this.#writeSoon();
+		if (this.#pending.size > 0) {
+			this.#scheduleWrite();
 		}
 
-		const loads = told.map(([, {load, forMs}]) => [load.endpoint, load.model, load.version, Math.round(forMs)] as const);
+		const loads = announced.map(([, {load, forMs}]) => [load.endpoint, load.model, load.version, Math.round(forMs)] as const);
 		const key = String(this.#nextRow);
 		this.#nextRow = (this.#nextRow + 1) % rowCount;
 		try {
--- a/packages/direct/src/load-schedule.ts
+++ b/packages/direct/src/load-schedule.ts
@@ -4,15 +4,15 @@
 import {defaultPolicy, shouldLoad, type Policy} from '@wasabiusher/decisions';
 
 /** Time that a load is taken for while none was seen, in milliseconds. */
-const usualLoadMs = 1000;
+const initialLoadMs = 1000;
 
 /** Weight of a new load, and of a new interval between publications, in their means. */
-const smoothing = 0.3;
+const smoothingFactor = 0.3;
 
 /** Longest interval between publications that counts, in milliseconds: a trainer that stood still says nothing of the next version. */
-const longestIntervalMs = 30_000;
+const maxIntervalMs = 30_000;
 
-type Publication = {version: number; learntAt: number; intervalMs: number | undefined};
+type Publication = {version: number; receivedAt: number; intervalMs: number | undefined};
 
 /** Endpoints that are to load a model. */
 export type LoadGroup = {
@@ -28,7 +28,7 @@
 	readonly #policy: Policy;
 	readonly #findWaiting: (model: string) => number | undefined;
 	readonly #published = new Map<string, Publication>();
-	#loadMs = usualLoadMs;
+	#loadMs = initialLoadMs;
 
 	/** @param findWaiting - texts of a model that have not begun, at all hosts; undefined if nobody tells */
 	constructor(policy = defaultPolicy, findWaiting: (model: string) => number | undefined = () => undefined) {
@@ -59,12 +59,12 @@
 		}
 
 		const learntAt = performance.now();
-		this.#published.set(model, {version, learntAt, intervalMs: known && findInterval(known, learntAt)});
+		this.#published.set(model, {version, receivedAt: learntAt, intervalMs: known && findInterval(known, learntAt)});
 	}
 
 	/** Learns how long a load took, in milliseconds. */
 	recordLoad(loadMs: number): void {
-		this.#loadMs += smoothing * (loadMs - this.#loadMs);
+		this.#loadMs += smoothingFactor * (loadMs - this.#loadMs);
 	}
 
 	/** Whether a model's endpoints should load its newest version now. */
@@ -74,7 +74,7 @@
 			return false;
 		}
 
-		const {learntAt, intervalMs} = published;
+		const {receivedAt: learntAt, intervalMs} = published;
 		const {loadDelayMs, timesLoads} = this.#policy;
 		return shouldLoad({
 			...group, sinceMs: performance.now() - learntAt, waiting: timesLoads ? this.#findWaiting(model) : undefined, loadMs: this.#loadMs, intervalMs,
@@ -83,11 +83,11 @@
 }
 
 /** Mean time between publications; one that came much later than usual is left out. */
-function findInterval({learntAt, intervalMs}: Publication, now: number): number | undefined {
+function findInterval({receivedAt: learntAt, intervalMs}: Publication, now: number): number | undefined {
 	const elapsedMs = now - learntAt;
-	if (elapsedMs > longestIntervalMs) {
+	if (elapsedMs > maxIntervalMs) {
 		return intervalMs;
 	}
 
-	return intervalMs === undefined ? elapsedMs : intervalMs + (smoothing * (elapsedMs - intervalMs));
+	return intervalMs === undefined ? elapsedMs : intervalMs + (smoothingFactor * (elapsedMs - intervalMs));
 }
--- a/packages/direct/src/load-windows.ts
+++ b/packages/direct/src/load-windows.ts
@@ -15,28 +15,28 @@
 export const maxLoadMs = 3000;
 
 /** Time for which an endpoint that was met loading is left out, in milliseconds: what is left of a usual load on average. */
-const metLoadMs = 500;
+const refusedLoadMs = 500;
 
 /** Status of an endpoint that takes nothing at present. */
 const refusedStatus = 503;
 
-type Window = WeightLoad & {endsAt: number};
+type LoadWindow = WeightLoad & {endsAt: number};
 
 /** The loads that go on. */
 export class LoadWindows {
 	/** Loads that were learnt of by a refusal. */
 	readonly counts = {loadsMet: 0};
 	/** By endpoint and model. */
-	readonly #windows = new Map<string, Window>();
+	readonly #windows = new Map<string, LoadWindow>();
 	/** Newest version of each model that endpoints may load. */
 	readonly #published = new Map<string, number>();
 	readonly #findVersion: (endpoint: string, model: string) => number | undefined;
-	readonly #isOn: boolean;
+	readonly #isEnabled: boolean;
 
 	/** @param findVersion - newest version of a model that an endpoint is known to serve */
 	constructor(findVersion: (endpoint: string, model: string) => number | undefined, isOn = true) {
 		this.#findVersion = findVersion;
-		this.#isOn = isOn;
+		this.#isEnabled = isOn;
 	}
 
 	/** Loads that are known of, those that are over by the time among them until they are asked for. */
@@ -50,25 +50,25 @@
 	 * @param forMs - time for which it is expected to go on; nothing or less ends it
 	 */
 	note({endpoint, model, version}: WeightLoad, forMs: number): void {
-		const name = nameWindow(endpoint, model);
-		const known = this.#windows.get(name);
+		const key = toKey(endpoint, model);
+		const known = this.#windows.get(key);
 		const isOld = (known?.version ?? 0) > version || (this.#findVersion(endpoint, model) ?? 0) >= version;
-		if (!this.#isOn || isOld) {
+		if (!this.#isEnabled || isOld) {
 			return;
 		}
 
 		if (forMs <= 0) {
-			this.#windows.delete(name);
+			this.#windows.delete(key);
 			return;
 		}
 
-		this.#windows.set(name, {
+		this.#windows.set(key, {
 			endpoint, model, version, endsAt: performance.now() + Math.min(forMs, maxLoadMs),
 		});
 	}
 
 	/** Learns the newest version of a model that endpoints may load. */
-	notePublished(model: string, version: number): void {
+	recordPublished(model: string, version: number): void {
 		this.#published.set(model, version);
 	}
 
@@ -77,24 +77,24 @@
 	 *
 	 * @param model - what was asked for; undefined if nothing that is loaded
 	 */
-	noteHead(endpoint: string, head: ServingHead, model: string | undefined): void {
+	recordHead(endpoint: string, head: ServingHead, model: string | undefined): void {
 		const version = model === undefined ? undefined : this.#published.get(model);
-		if (version !== undefined && refusesWithRoom(head) && (this.#findVersion(endpoint, model!) ?? 0) < version && !this.covers(endpoint, model!)) {
+		if (version !== undefined && refusesWithFreeSlots(head) && (this.#findVersion(endpoint, model!) ?? 0) < version && !this.isLoading(endpoint, model!)) {
 			this.counts.loadsMet += 1;
-			this.note({endpoint, model: model!, version}, metLoadMs);
+			this.note({endpoint, model: model!, version}, refusedLoadMs);
 		}
 	}
 
 	/** Whether an endpoint loads a model now. */
-	covers(endpoint: string, model: string): boolean {
+	isLoading(endpoint: string, model: string): boolean {
 		if (this.#windows.size === 0) {
 			return false;
 		}
 
-		const name = nameWindow(endpoint, model);
-		const window = this.#windows.get(name);
+		const key = toKey(endpoint, model);
+		const window = this.#windows.get(key);
 		if (window && window.endsAt <= performance.now()) {
-			this.#windows.delete(name);
+			this.#windows.delete(key);
 			return false;
 		}
 
@@ -103,26 +103,26 @@
 
 	/** Learns which version an endpoint serves; returns whether a load has ended by that. */
 	end({endpoint, model, version}: WeightLoad): boolean {
-		const name = nameWindow(endpoint, model);
-		const window = this.#windows.get(name);
-		return window !== undefined && version >= window.version && this.#windows.delete(name);
+		const key = toKey(endpoint, model);
+		const window = this.#windows.get(key);
+		return window !== undefined && version >= window.version && this.#windows.delete(key);
 	}
 
 	/** Forgets an endpoint. */
 	forget(endpoint: string): void {
-		for (const [name, window] of this.#windows) {
+		for (const [key, window] of this.#windows) {
 			if (window.endpoint === endpoint) {
-				this.#windows.delete(name);
+				this.#windows.delete(key);
 			}
 		}
 	}
 }
 
 /** Whether an endpoint did not run a request though slots were free. */
-function refusesWithRoom({isNotRun, status, load}: ServingHead): boolean {
+function refusesWithFreeSlots({isNotRun, status, load}: ServingHead): boolean {
 	return isNotRun && status === refusedStatus && load !== undefined && load.running + load.waiting < load.slots;
 }
 
-function nameWindow(endpoint: string, model: string): string {
+function toKey(endpoint: string, model: string): string {
 	return `${endpoint} ${model}`;
 }
--- a/packages/direct/src/phase-times.ts
+++ b/packages/direct/src/phase-times.ts
@@ -39,7 +39,7 @@
 	}
 
 	/** The times as values of a log line, in whole milliseconds; phases without any are left out. */
-	toValues(): Record<string, number> {
+	toLogFields(): Record<string, number> {
 		return Object.fromEntries(runPhases.flatMap(phase => {
 			const ms = Math.round(this.#sums.get(phase) ?? 0);
 			return ms > 0 ? [[`${phase}Ms`, ms]] : [];
--- a/packages/direct/src/crash-watch.ts
+++ b/packages/direct/src/poison-requests.ts
@@ -16,7 +16,7 @@
 };
 
 /** What a caller is told whose request has crashed endpoints. */
-export const crasherReason = 'the request has crashed endpoints';
+export const poisonRequestReason = 'the request has crashed endpoints';
 
 /** How an attempt at an endpoint has failed. */
 export type BrokenAttempt = {
@@ -28,7 +28,7 @@
 };
 
 /** Tells of a failed attempt. */
-export function noteBrokenAttempt(watch: CrashWatch | undefined, {endpoint, request, isNotRun, hasRestarted}: BrokenAttempt): void {
+export function recordBrokenAttempt(watch: CrashWatch | undefined, {endpoint, request, isNotRun, hasRestarted}: BrokenAttempt): void {
 	if (!isNotRun) {
 		watch?.noteBroken(endpoint, request);
 	}
--- a/packages/direct/src/restart-watch.ts
+++ b/packages/direct/src/restart-watch.ts
@@ -12,10 +12,10 @@
  * - `new`: nothing that is known holds
  * - `former`: written by an earlier start than the known one, and carried out late
  */
-export type StartRelation = 'same' | 'new' | 'former';
+export type IncarnationRelation = 'same' | 'new' | 'former';
 
 /** How a registration stands to the one known under its id. */
-export function compareStarts(row: RegisteredEndpoint, known: RegisteredEndpoint): StartRelation {
+export function compareIncarnations(row: RegisteredEndpoint, known: RegisteredEndpoint): IncarnationRelation {
 	if (row.bornMs === undefined || known.bornMs === undefined) {
 		return row.orderCount >= known.orderCount ? 'same' : 'new';
 	}
@@ -28,7 +28,7 @@
 }
 
 /** Whether what an endpoint told of itself comes from the start that is registered, as far as both say. */
-export function isOfStart(bornMs: number | undefined, registered: RegisteredEndpoint): boolean {
+export function isOfIncarnation(bornMs: number | undefined, registered: RegisteredEndpoint): boolean {
 	return bornMs === undefined || registered.bornMs === undefined || bornMs === registered.bornMs;
 }
 
--- a/packages/direct/src/resumed-stream.ts
+++ b/packages/direct/src/resumed-stream.ts
@@ -27,7 +27,7 @@
 	#rest = '';
 
 	/** Takes what has come; returns the whole events in it. */
-	take(chunk: Uint8Array): string {
+	push(chunk: Uint8Array): string {
 		// An event holds text, one byte a character here, so that none is cut in two between chunks.
 		this.#rest += Buffer.from(chunk).toString('latin1');
 		const end = this.#rest.lastIndexOf(boundary);
@@ -72,7 +72,7 @@
 		try {
 			// eslint-disable-next-line no-await-in-loop
 			for await (const chunk of stream.body) {
-				const whole = splitter.take(chunk);
+				const whole = splitter.push(chunk);
 				if (whole !== '') {
 					yield Buffer.from(whole, 'latin1');
 				}
--- a/packages/direct/src/sample-run.ts
+++ b/packages/direct/src/sample-run.ts
@@ -12,8 +12,8 @@
 	describeError, type Log, type RegisteredEndpoint, type Route,
 } from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
-import type {EndpointNeed} from './endpoint-need.js';
-import type {EndpointLine} from './endpoint-line.js';
+import type {EndpointRequirement} from './endpoint-requirement.js';
+import type {EndpointLine} from './endpoint-queue.js';
 import {PhaseTimes, type RunPhase} from './phase-times.js';
 import {RestartWatch} from './restart-watch.js';
 import {findUrgency, SampleSearch} from './sample-search.js';
@@ -75,10 +75,10 @@
 };
 
 /** Events of a run from which, and after which again, its mean pace is told: it differs by less than a twentieth then. */
-const paceEvents = 20;
+const paceReportEvents = 20;
 
 /** Pause after an endpoint refused or broke, in milliseconds, so that a failing one is not asked in a tight loop. */
-const pauseMs = 20;
+const retryPauseMs = 20;
 
 /** Status of a sample that can never be done. */
 const impossibleStatus = 422;
@@ -100,18 +100,18 @@
 	readonly #startedAt = performance.now();
 	readonly #times = new PhaseTimes();
 	/** Events that the text had when it came here. */
-	readonly #keptEvents: number;
+	readonly #inheritedEvents: number;
 	#failures = 0;
 	#runs = 0;
 	readonly #search: SampleSearch;
 	/** Events that were expected of the text when it came here; undefined if nobody knew. */
 	#expectedEvents: number | undefined;
 	/** What the present attempt was chosen by. */
-	#need: EndpointNeed | undefined;
+	#requirement: EndpointRequirement | undefined;
 	/** The endpoint that broke last; another is preferred. */
 	#avoided: string | undefined;
 	/** The endpoint for which the last run was left; it counts as open there already. */
-	#better: RegisteredEndpoint | undefined;
+	#nextEndpoint: RegisteredEndpoint | undefined;
 
 	/**
 	 * @param signal - aborts when the sample is no longer wanted here
@@ -123,7 +123,7 @@
 		this.#signal = signal;
 		this.#search = new SampleSearch(settings, sample, signal);
 		this.#text = text ?? {events: [], versions: new Set()};
-		this.#keptEvents = this.#text.events.length;
+		this.#inheritedEvents = this.#text.events.length;
 	}
 
 	/** What has been made so far; changes while `run` goes on. */
@@ -134,7 +134,7 @@
 	/** Runs until the text is whole or can't be. Never rejects. */
 	async run(): Promise<SampleOutcome> {
 		const outcome = await this.#runToEnd();
-		this.#leaveBetter();
+		this.#releaseNext();
 		return outcome;
 	}
 
@@ -150,8 +150,8 @@
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			const endpoint = this.#better ?? await this.#findEndpoint(route);
-			this.#better = undefined;
+			const endpoint = this.#nextEndpoint ?? await this.#findEndpoint(route);
+			this.#nextEndpoint = undefined;
 			// Each run goes on where the one before has broken.
 			// eslint-disable-next-line no-await-in-loop
 			const step = endpoint ? await this.#runAt(endpoint, route) : 'again';
@@ -170,22 +170,22 @@
 
 	async #findEndpoint(route: Route): Promise<RegisteredEndpoint | undefined> {
 		const [begun] = this.#text.versions;
-		const {need, endpoint, isVersionLost} = await this.#search.find(route, begun, this.#avoided, () => this.#expect());
-		this.#need = need;
-		this.#expectedEvents ??= need.units;
+		const {requirement, endpoint, isVersionLost} = await this.#search.find(route, begun, this.#avoided, () => this.#estimateRemaining());
+		this.#requirement = requirement;
+		this.#expectedEvents ??= requirement.units;
 		this.#times.mark('waited');
 		if (isVersionLost) {
-			this.#beginAnew();
+			this.#discardText();
 		}
 
 		return endpoint;
 	}
 
 	/** Gives up what was taken for a run that does not come. */
-	#leaveBetter(): void {
-		if (this.#better) {
-			this.#settings.directory.release(this.#better.id);
-			this.#better = undefined;
+	#releaseNext(): void {
+		if (this.#nextEndpoint) {
+			this.#settings.directory.release(this.#nextEndpoint.id);
+			this.#nextEndpoint = undefined;
 		}
 	}
 
@@ -197,7 +197,7 @@
 		return this.#text.events.length > 0 ? 'resumed' : 'begun';
 	}
 
-	#beginAnew(): void {
+	#discardText(): void {
 		this.#text.events.length = 0;
 		this.#text.versions.clear();
 	}
@@ -212,15 +212,15 @@
 		const startedAt = performance.now();
 		let headMs: number | undefined;
 		let status: number | undefined;
-		const watch = new SilenceWatch(stop, () => directory.findHeardAt(id));
+		const watch = new SilenceWatch(stop, () => directory.findLastReceivedAt(id));
 		this.#runs += 1;
 		try {
-			const run = await client.run(endpoint, this.#toServing(route), signal);
+			const run = await client.run(endpoint, this.#toServingRequest(route), signal);
 			headMs = Math.round(performance.now() - startedAt);
 			({status} = run);
 			this.#times.mark(this.#findHeadPhase(run));
 			directory.recordHead(id, run, this.#sample.model);
-			watch.note();
+			watch.recordReceived();
 			return await this.#readRun({
 				id, run, route, watch,
 			});
@@ -259,7 +259,7 @@
 		const {directory, log} = this.#settings;
 		const {model} = this.#sample;
 		if (run.isNotRun) {
-			return this.#noteRefusal(id, run);
+			return this.#recordRefusal(id, run);
 		}
 
 		if (run.status === impossibleStatus) {
@@ -291,14 +291,14 @@
 		}
 
 		log.info('text_made', {
-			batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, events: this.#text.events.length, kept: this.#keptEvents, runs: this.#runs,
+			batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, events: this.#text.events.length, kept: this.#inheritedEvents, runs: this.#runs,
 			expected: this.#expectedEvents && Math.round(this.#expectedEvents), versions: [...this.#text.versions].join(','),
-			tookMs: Math.round(performance.now() - this.#startedAt), ...this.#times.toValues(),
+			tookMs: Math.round(performance.now() - this.#startedAt), ...this.#times.toLogFields(),
 		});
 		return {kind: 'made', text: this.#text};
 	}
 
-	#noteRefusal(id: string, run: ServingRun): RunStep {
+	#recordRefusal(id: string, run: ServingRun): RunStep {
 		const {directory} = this.#settings;
 		this.#avoided = id;
 		if (run.status === 421 && run.weightVersion === undefined) {
@@ -316,9 +316,9 @@
 		let version = run.weightVersion;
 		let lastAt = performance.now();
 		for await (const event of run.events) {
-			this.#takeEvent(event);
+			this.#appendEvent(event);
 			this.#times.markEvent();
-			watch.note();
+			watch.recordReceived();
 			const now = performance.now();
 			directory.recordPace(id, now - lastAt);
 			lastAt = now;
@@ -329,14 +329,14 @@
 			}
 
 			const count = this.#text.events.length - from;
-			if (count % paceEvents === 0) {
+			if (count % paceReportEvents === 0) {
 				directory.recordRunPace(id, (now - firstAt) / (count - 1));
 			}
 
-			this.#better = this.#takeBetter(id, count);
-			if (this.#better) {
+			this.#nextEndpoint = this.#acquireBetter(id, count);
+			if (this.#nextEndpoint) {
 				log.info('run_moved', {
-					batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, to: this.#better.id, events: this.#text.events.length,
+					batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, to: this.#nextEndpoint.id, events: this.#text.events.length,
 				});
 				this.#avoided = id;
 				return false;
@@ -347,24 +347,24 @@
 	}
 
 	/** What is expected of the text from now on. */
-	#expect(): Pick<EndpointNeed, 'units' | 'dueInMs'> {
+	#estimateRemaining(): Pick<EndpointRequirement, 'units' | 'dueInMs'> {
 		const {expectLeft, dueAt} = this.#sample;
 		return {units: expectLeft?.(this.#text.events.length), dueInMs: dueAt === undefined ? undefined : dueAt - performance.now()};
 	}
 
-	#takeBetter(id: string, madeHere: number): RegisteredEndpoint | undefined {
+	#acquireBetter(id: string, madeHere: number): RegisteredEndpoint | undefined {
 		const {directory} = this.#settings;
-		if (!this.#need) {
+		if (!this.#requirement) {
 			return undefined;
 		}
 
-		const {units, dueInMs} = this.#expect();
+		const {units, dueInMs} = this.#estimateRemaining();
 		return units === undefined
-			? directory.takeBetter(id, this.#need, madeHere >= longRunEvents)
-			: directory.takeFaster(id, {...this.#need, units, dueInMs}, madeHere);
+			? directory.acquireBetter(id, this.#requirement, madeHere >= longRunEvents)
+			: directory.acquireFaster(id, {...this.#requirement, units, dueInMs}, madeHere);
 	}
 
-	#takeEvent({id, data, version}: RunEvent): void {
+	#appendEvent({id, data, version}: RunEvent): void {
 		const {leastVersion, isSingleVersion} = this.#sample;
 		const {events, versions} = this.#text;
 		if (id !== events.length + 1) {
@@ -376,7 +376,7 @@
 		}
 
 		if (isSingleVersion && versions.size > 0 && !versions.has(version)) {
-			this.#beginAnew();
+			this.#discardText();
 			throw new PlatformError('invalid', `version ${version} began within a text that must have one version`);
 		}
 
@@ -384,7 +384,7 @@
 		versions.add(version);
 	}
 
-	#toServing(route: Route): ServingRequest {
+	#toServingRequest(route: Route): ServingRequest {
 		const {id, request, deadlineAt} = this.#sample;
 		const {events} = this.#text;
 		return {
@@ -398,7 +398,7 @@
 
 	async #pause(): Promise<void> {
 		await new Promise<void>(resolve => {
-			setTimeout(resolve, pauseMs);
+			setTimeout(resolve, retryPauseMs);
 		});
 	}
 }
--- a/packages/direct/src/sample-search.ts
+++ b/packages/direct/src/sample-search.ts
@@ -3,8 +3,8 @@
  */
 import type {RegisteredEndpoint, Route} from '@wasabiusher/shared';
 import {chooseService} from './call.js';
-import type {EndpointNeed} from './endpoint-need.js';
-import type {EndpointLine, LineNeed} from './endpoint-line.js';
+import type {EndpointRequirement} from './endpoint-requirement.js';
+import type {EndpointLine, QueueRequirement} from './endpoint-queue.js';
 import type {SampleRequest, SampleRunSettings} from './sample-run.js';
 
 /** Most requests of one process at an endpoint, as a multiple of its slots: what is beyond waits here, where it can still be sent elsewhere. */
@@ -14,22 +14,22 @@
 const recheckMs = 1000;
 
 /** Longest wait until endpoints are looked at again though none has changed, in milliseconds. */
-const lookMs = 100;
+const pollMs = 100;
 
 /**
  * Urgency of runs that nobody waits for, and the last one before it: endpoints take ten classes. Without a class all runs count alike there, so
  * that at an endpoint which two trainers fill the one whose route goes first waited behind the other.
  */
-const spareUrgency = 9;
-const lastUrgency = 8;
+const backgroundUrgency = 9;
+const maxForegroundUrgency = 8;
 
 /** What is expected of a text from now on. */
-export type Expectation = () => Pick<EndpointNeed, 'units' | 'dueInMs'>;
+export type RemainingEstimate = () => Pick<EndpointRequirement, 'units' | 'dueInMs'>;
 
 /** What was found. */
-export type Found = {
+export type SearchResult = {
 	/** What was looked for. */
-	need: EndpointNeed;
+	requirement: EndpointRequirement;
 	/** Counted as open there; undefined if there is none yet. */
 	endpoint: RegisteredEndpoint | undefined;
 	/** Whether no endpoint has the version any more that the text was begun with. */
@@ -38,7 +38,7 @@
 
 /** Class of a sample's runs; 0 goes first. */
 export function findUrgency({avoidsFull}: SampleRequest, {priority}: Route): number {
-	return avoidsFull ? spareUrgency : Math.min(lastUrgency, priority);
+	return avoidsFull ? backgroundUrgency : Math.min(maxForegroundUrgency, priority);
 }
 
 /** Looks for endpoints for one sample. */
@@ -62,73 +62,73 @@
 	/**
 	 * Takes an endpoint; waits for one for a time if there is none.
 	 *
-	 * @param begun - version of the text made so far
+	 * @param begunVersion - version of the text made so far
 	 * @param avoided - endpoint that is asked only if no other fits
-	 * @param expect - what is expected of the text from now on
+	 * @param estimateRemaining - what is expected of the text from now on
 	 */
-	async find(route: Route, begun: number | undefined, avoided: string | undefined, expect: Expectation): Promise<Found> {
-		const need = {...this.#toNeed(route, begun), ...expect()};
+	async find(route: Route, begunVersion: number | undefined, avoided: string | undefined, estimateRemaining: RemainingEstimate): Promise<SearchResult> {
+		const requirement = {...this.#toRequirement(route, begunVersion), ...estimateRemaining()};
 		const {line} = this.#settings;
-		const taken = line ? undefined : this.#take(need, avoided);
+		const taken = line ? undefined : this.#acquire(requirement, avoided);
 		if (taken) {
-			return {need, endpoint: taken, isVersionLost: false};
+			return {requirement, endpoint: taken, isVersionLost: false};
 		}
 
-		const isLostNow = this.#isVersionLost(need);
+		const isLostNow = this.#isVersionLost(requirement);
 		if (line && isLostNow) {
-			return {need, endpoint: undefined, isVersionLost: true};
+			return {requirement, endpoint: undefined, isVersionLost: true};
 		}
 
 		// Without a line the text begins anew at once as well, and waits after that.
 		this.#isWaiting = true;
-		const lineNeed: LineNeed = {
-			...need,
+		const queueRequirement: QueueRequirement = {
+			...requirement,
 			avoided,
 			// Read when a slot is free, which may be a second later.
 			get dueInMs() {
-				return expect().dueInMs;
+				return estimateRemaining().dueInMs;
 			},
 		};
-		const endpoint = await (line ? this.#waitInLine(line, route, lineNeed) : this.#waitForChange());
+		const endpoint = await (line ? this.#waitInQueue(line, route, queueRequirement) : this.#waitForChange());
 		this.#isWaiting = false;
-		return {need, endpoint, isVersionLost: isLostNow || (!endpoint && this.#isVersionLost(need))};
+		return {requirement, endpoint, isVersionLost: isLostNow || (!endpoint && this.#isVersionLost(requirement))};
 	}
 
-	#toNeed(route: Route, begun: number | undefined): EndpointNeed {
+	#toRequirement(route: Route, begunVersion: number | undefined): EndpointRequirement {
 		const {chance, findHomes} = this.#settings;
 		const {model, leastVersion, isSingleVersion, group, avoidsFull} = this.#sample;
 		return {
 			service: chooseService(route, chance()),
-			least: model === undefined ? undefined : {model, version: leastVersion},
-			exact: isSingleVersion && begun !== undefined && model !== undefined ? {model, version: begun} : undefined,
+			oldestVersion: model === undefined ? undefined : {model, version: leastVersion},
+			exactVersion: isSingleVersion && begunVersion !== undefined && model !== undefined ? {model, version: begunVersion} : undefined,
 			warmKey: group,
 			openLimit,
 			avoidsFull,
-			homes: findHomes?.(),
+			dedicated: findHomes?.(),
 			waiter: {id: this.#sample.id, urgency: findUrgency(this.#sample, route)},
 		};
 	}
 
-	#take(need: EndpointNeed, avoided: string | undefined): RegisteredEndpoint | undefined {
+	#acquire(requirement: EndpointRequirement, avoided: string | undefined): RegisteredEndpoint | undefined {
 		const {directory} = this.#settings;
-		const elsewhere = avoided === undefined ? undefined : directory.take({...need, excluded: new Set([avoided])});
-		return elsewhere ?? directory.take(need);
+		const elsewhere = avoided === undefined ? undefined : directory.acquire({...requirement, excluded: new Set([avoided])});
+		return elsewhere ?? directory.acquire(requirement);
 	}
 
-	#isVersionLost({service, exact}: EndpointNeed): boolean {
+	#isVersionLost({service, exactVersion}: EndpointRequirement): boolean {
 		const {directory} = this.#settings;
-		const registered = exact === undefined ? [] : directory.list(service);
+		const registered = exactVersion === undefined ? [] : directory.list(service);
 		// While nobody is registered, as during an outage of the store, nothing is known of versions.
-		return exact !== undefined && registered.length > 0 && !registered.some(({id}) => directory.findVersion(id, exact.model) === exact.version);
+		return exactVersion !== undefined && registered.length > 0 && !registered.some(({id}) => directory.findVersion(id, exactVersion.model) === exactVersion.version);
 	}
 
-	async #waitInLine(line: EndpointLine, route: Route, need: LineNeed): Promise<RegisteredEndpoint | undefined> {
+	async #waitInQueue(line: EndpointLine, route: Route, requirement: QueueRequirement): Promise<RegisteredEndpoint | undefined> {
 		const {directory, findRoute} = this.#settings;
 		const {
 			id, model = '', deadlineAt, place = {turn: model, dueAt: deadlineAt, rank: 0},
 		} = this.#sample;
 		const answer = await line.wait({
-			id, kind: 'text', need, urgency: findUrgency(this.#sample, route), weight: 1, workMs: 0, ...place,
+			id, kind: 'text', need: requirement, urgency: findUrgency(this.#sample, route), weight: 1, workMs: 0, ...place,
 			deadlineAt: Math.min(deadlineAt, performance.now() + recheckMs),
 		}, this.#signal);
 		if (answer.kind !== 'granted') {
@@ -136,7 +136,7 @@
 		}
 
 		// The route may have changed meanwhile.
-		const isAllowed = findRoute()?.targets.some(({service}) => service === need.service);
+		const isAllowed = findRoute()?.targets.some(({service}) => service === requirement.service);
 		if (!isAllowed) {
 			directory.release(answer.endpoint.id);
 		}
@@ -153,7 +153,7 @@
 				resolve(undefined);
 			};
 
-			const timer = setTimeout(finish, lookMs);
+			const timer = setTimeout(finish, pollMs);
 			const unsubscribe = this.#settings.directory.onChange(finish);
 			this.#signal.addEventListener('abort', finish);
 		});
--- a/packages/direct/src/silence-watch.ts
+++ b/packages/direct/src/silence-watch.ts
@@ -14,18 +14,18 @@
 const headSilenceMs = 2000;
 
 /** Time between looks, in milliseconds. */
-const lookMs = 250;
+const checkMs = 250;
 
 /** Delay of a look that shows that this process itself stood still, in milliseconds. */
-const standstillMs = 500;
+const processStallMs = 500;
 
 /** Watches one run. */
 export class SilenceWatch {
 	readonly #stop: AbortController;
-	readonly #findHeardAt: () => number;
+	readonly #findLastReceivedAt: () => number;
 	readonly #timer: NodeJS.Timeout;
-	#heardAt = performance.now();
-	#lookedAt = performance.now();
+	#lastReceivedAt = performance.now();
+	#checkedAt = performance.now();
 	#limitMs = headSilenceMs;
 
 	/**
@@ -34,15 +34,15 @@
 	 */
 	constructor(stop: AbortController, findHeardAt: () => number) {
 		this.#stop = stop;
-		this.#findHeardAt = findHeardAt;
+		this.#findLastReceivedAt = findHeardAt;
 		this.#timer = setInterval(() => {
-			this.#look();
-		}, lookMs);
+			this.#check();
+		}, checkMs);
 	}
 
 	/** Notes that something of the run has come; from then on events are expected. */
-	note(): void {
-		this.#heardAt = performance.now();
+	recordReceived(): void {
+		this.#lastReceivedAt = performance.now();
 		this.#limitMs = eventSilenceMs;
 	}
 
@@ -51,19 +51,19 @@
 		clearInterval(this.#timer);
 	}
 
-	#look(): void {
+	#check(): void {
 		const now = performance.now();
-		const lateMs = now - this.#lookedAt - lookMs;
-		if (lateMs > standstillMs) {
+		const lateMs = now - this.#checkedAt - checkMs;
+		if (lateMs > processStallMs) {
 			// What came while this process stood still has not been read yet.
-			this.#heardAt = now;
+			this.#lastReceivedAt = now;
 		} else if (lateMs > 0) {
 			// The time by which this process is late is not the endpoint's.
-			this.#heardAt += lateMs;
+			this.#lastReceivedAt += lateMs;
 		}
 
-		this.#lookedAt = now;
-		const silentMs = now - Math.max(this.#heardAt, this.#findHeardAt());
+		this.#checkedAt = now;
+		const silentMs = now - Math.max(this.#lastReceivedAt, this.#findLastReceivedAt());
 		if (silentMs >= this.#limitMs) {
 			this.end();
 			this.#stop.abort(new DeadlineError('deadline', `nothing has come for ${Math.round(silentMs)} ms`));
--- a/packages/direct/src/slot-limits.ts
+++ b/packages/direct/src/slot-limits.ts
@@ -8,7 +8,7 @@
 import {chooseDirect} from '@wasabiusher/decisions';
 import type {ServingHead} from '@wasabiusher/backends';
 import type {RationSource, Want} from '@wasabiusher/slots';
-import type {EndpointStanding} from './endpoint-standing.js';
+import type {EndpointStanding} from './endpoint-state.js';
 
 /** One that waits for a slot. */
 export type SlotWaiter = {
@@ -19,43 +19,43 @@
 };
 
 /** Time after which one that has not looked for a slot again has left, in milliseconds: three looks. */
-const unseenMs = 300;
+const requestExpiryMs = 300;
 
 /** Least time between two notes of one that waits, in milliseconds: all look at each change. */
-const askMs = 50;
+const minRequestIntervalMs = 50;
 
 /** Time until one is due that does not tell, in milliseconds: after all that do. */
-const lastDueMs = 60_000;
+const defaultDueMs = 60_000;
 
 /** What endpoints need not have to be wanted. */
-const anyRoomNeed = {openLimit: undefined, waiter: undefined} as const;
+const withoutLimits = {openLimit: undefined, waiter: undefined} as const;
 
 /** Time for which one keeps the endpoint that it wants, in milliseconds: some messages to its home. */
-const stayMs = 100;
+const minStayMs = 100;
 
 /** Part of an endpoint's slots beyond which this process tells of it though nothing waits. */
-const quietFraction = 0.5;
+const unreportedFraction = 0.5;
 
 /** Age up to which an endpoint's load tells of requests that hosts have not told of, in milliseconds; later those have told that they ended. */
-const freshMs = 50;
+const freshLoadMs = 50;
 
 /** Time for which an endpoint is told of after it was last contended, in milliseconds. */
-const lingerMs = 1000;
+const contentionMs = 1000;
 
 /** What of a need counts here. */
-export type SlotNeed = {waiter?: SlotWaiter; dueInMs?: number; avoidsFull?: boolean};
+export type UnmetRequirement = {waiter?: SlotWaiter; dueInMs?: number; avoidsFull?: boolean};
 
-type Wish = SlotWaiter & {endpoint: string; dueAt: number; since: number; seenAt: number};
+type SlotRequest = SlotWaiter & {endpoint: string; dueAt: number; since: number; renewedAt: number};
 
 /** The slots that are contended. */
 export class SlotLimits {
 	readonly #source: RationSource;
 	readonly #find: (endpoint: string) => EndpointStanding | undefined;
 	/** By waiter, and waiters by endpoint. */
-	readonly #wishes = new Map<string, Wish>();
-	readonly #waiters = new Map<string, Set<string>>();
+	readonly #requests = new Map<string, SlotRequest>();
+	readonly #waiterIds = new Map<string, Set<string>>();
 	/** Until when each endpoint is told of, on the monotonic clock. */
-	readonly #contended = new Map<string, number>();
+	readonly #contendedUntil = new Map<string, number>();
 
 	/** @param find - gives the standing of an endpoint */
 	constructor(source: RationSource, find: (endpoint: string) => EndpointStanding | undefined) {
@@ -71,36 +71,36 @@
 
 	/** Slots of an endpoint that are filled without asking: half of what others leave, since several see the same free slots. */
 	findFreePart(endpoint: string): number {
-		const standing = this.#find(endpoint);
-		return standing ? Math.max(1, Math.floor((standing.endpoint.slots - standing.others) * quietFraction)) : 1;
+		const state = this.#find(endpoint);
+		return state ? Math.max(1, Math.floor((state.endpoint.slots - state.others) * unreportedFraction)) : 1;
 	}
 
 	/** Notes that one was sent. */
-	noteBegun(standing: EndpointStanding, waiter: SlotWaiter | undefined): void {
-		const wished = waiter && this.#drop(waiter.id);
-		const {id, slots} = standing.endpoint;
-		if (standing.open > slots * quietFraction) {
-			this.#contend(id);
+	recordBegun(state: EndpointStanding, waiter: SlotWaiter | undefined): void {
+		const requestedEndpoint = waiter && this.#withdraw(waiter.id);
+		const {id, slots} = state.endpoint;
+		if (state.open > slots * unreportedFraction) {
+			this.#markContended(id);
 		}
 
-		this.#tell(standing);
-		const other = wished === undefined || wished === id ? undefined : this.#find(wished);
+		this.#report(state);
+		const other = requestedEndpoint === undefined || requestedEndpoint === id ? undefined : this.#find(requestedEndpoint);
 		if (other) {
 			// Its slot there goes to others.
-			this.#tell(other);
+			this.#report(other);
 		}
 	}
 
 	/** Notes that one has ended. */
-	note(standing: EndpointStanding): void {
-		this.#tell(standing);
+	recordEnd(state: EndpointStanding): void {
+		this.#report(state);
 	}
 
 	/** Learns from the beginning of an answer whether an endpoint has turned one away since its slots were taken. */
-	noteHead(standing: EndpointStanding | undefined, {isNotRun, load}: ServingHead): void {
-		if (standing && isNotRun && load && load.running + load.waiting >= load.slots) {
-			this.#contend(standing.endpoint.id);
-			this.#tell(standing);
+	recordHead(state: EndpointStanding | undefined, {isNotRun, load}: ServingHead): void {
+		if (state && isNotRun && load && load.running + load.waiting >= load.slots) {
+			this.#markContended(state.endpoint.id);
+			this.#report(state);
 		}
 	}
 
@@ -109,68 +109,68 @@
 	 *
 	 * @param list - finds the endpoints that would serve it if they had room
 	 */
-	noteUnmet({waiter, dueInMs = lastDueMs, avoidsFull}: SlotNeed, list: (anyRoom: typeof anyRoomNeed) => EndpointStanding[]): void {
+	recordUnmet({waiter, dueInMs = defaultDueMs, avoidsFull}: UnmetRequirement, list: (overrides: typeof withoutLimits) => EndpointStanding[]): void {
 		const now = performance.now();
-		const known = waiter && this.#wishes.get(waiter.id);
-		const isNoted = known !== undefined && now - known.seenAt < askMs;
-		if (!waiter || isNoted || avoidsFull) {
+		const known = waiter && this.#requests.get(waiter.id);
+		const isRecent = known !== undefined && now - known.renewedAt < minRequestIntervalMs;
+		if (!waiter || isRecent || avoidsFull) {
 			return;
 		}
 
 		const {id, urgency} = waiter;
-		const candidates = list(anyRoomNeed);
-		const stays = known && now - known.since < stayMs && candidates.some(({endpoint}) => endpoint.id === known.endpoint);
+		const candidates = list(withoutLimits);
+		const stays = known && now - known.since < minStayMs && candidates.some(({endpoint}) => endpoint.id === known.endpoint);
 		const endpoint = stays ? known.endpoint : this.#choose(candidates);
-		const standing = candidates.find(candidate => candidate.endpoint.id === endpoint);
-		if (endpoint === undefined || !standing) {
-			this.#drop(id);
+		const state = candidates.find(candidate => candidate.endpoint.id === endpoint);
+		if (endpoint === undefined || !state) {
+			this.#withdraw(id);
 			return;
 		}
 
 		if (!stays) {
-			this.#drop(id);
-			const waiters = this.#waiters.get(endpoint) ?? new Set();
-			this.#waiters.set(endpoint, waiters.add(id));
+			this.#withdraw(id);
+			const waiterIds = this.#waiterIds.get(endpoint) ?? new Set();
+			this.#waiterIds.set(endpoint, waiterIds.add(id));
 		}
 
-		this.#wishes.set(id, {
-			id, urgency, endpoint, dueAt: now + dueInMs, since: stays ? known.since : now, seenAt: now,
+		this.#requests.set(id, {
+			id, urgency, endpoint, dueAt: now + dueInMs, since: stays ? known.since : now, renewedAt: now,
 		});
-		this.#contend(endpoint);
+		this.#markContended(endpoint);
 		if (!stays) {
-			this.#tell(standing);
+			this.#report(state);
 		}
 	}
 
 	/** Forgets those that have left; to be called each 50 ms or so. */
 	tick(): void {
 		const now = performance.now();
-		for (const {id, seenAt} of this.#wishes.values()) {
-			if (now - seenAt > unseenMs) {
-				this.#drop(id);
+		for (const {id, renewedAt: seenAt} of this.#requests.values()) {
+			if (now - seenAt > requestExpiryMs) {
+				this.#withdraw(id);
 			}
 		}
 
-		for (const [endpoint, until] of this.#contended) {
-			const standing = this.#find(endpoint);
-			if (standing) {
-				this.#tell(standing);
+		for (const [endpoint, until] of this.#contendedUntil) {
+			const state = this.#find(endpoint);
+			if (state) {
+				this.#report(state);
 			}
 
-			if (!standing || (until < now && standing.open === 0)) {
-				this.#contended.delete(endpoint);
+			if (!state || (until < now && state.open === 0)) {
+				this.#contendedUntil.delete(endpoint);
 			}
 		}
 	}
 
-	#contend(endpoint: string): void {
-		this.#contended.set(endpoint, performance.now() + lingerMs);
+	#markContended(endpoint: string): void {
+		this.#contendedUntil.set(endpoint, performance.now() + contentionMs);
 	}
 
-	#tell({endpoint: {id}, open, others, loadAgeMs}: EndpointStanding): void {
-		if (this.#contended.has(id)) {
+	#report({endpoint: {id}, open, others, loadAgeMs}: EndpointStanding): void {
+		if (this.#contendedUntil.has(id)) {
 			this.#source.want({
-				endpoint: id, filled: open, wants: this.#listWants(id), ...(loadAgeMs < freshMs ? {others} : {}),
+				endpoint: id, filled: open, wants: this.#listWants(id), ...(loadAgeMs < freshLoadMs ? {others} : {}),
 			});
 		}
 	}
@@ -179,8 +179,8 @@
 	#listWants(endpoint: string): Want[] {
 		const now = performance.now();
 		const wants = new Map<number, Want>();
-		for (const waiter of this.#waiters.get(endpoint) ?? []) {
-			const {urgency, dueAt} = this.#wishes.get(waiter)!;
+		for (const waiter of this.#waiterIds.get(endpoint) ?? []) {
+			const {urgency, dueAt} = this.#requests.get(waiter)!;
 			const known = wants.get(urgency);
 			wants.set(urgency, {urgency, count: (known?.count ?? 0) + 1, dueInMs: Math.min(known?.dueInMs ?? Number.POSITIVE_INFINITY, Math.round(dueAt - now))});
 		}
@@ -189,28 +189,28 @@
 	}
 
 	#choose(candidates: readonly EndpointStanding[]): string | undefined {
-		const weighed = candidates.map(standing => {
-			const candidate = standing.toCandidate(undefined);
-			return {...candidate, open: candidate.open + (this.#waiters.get(candidate.id)?.size ?? 0)};
+		const weighted = candidates.map(state => {
+			const candidate = state.toCandidate(undefined);
+			return {...candidate, open: candidate.open + (this.#waiterIds.get(candidate.id)?.size ?? 0)};
 		});
 		// Any of equals will do: the wishes that were counted decide between them.
-		return chooseDirect(weighed, 0)?.id;
+		return chooseDirect(weighted, 0)?.id;
 	}
 
 	/** Forgets what one wants; returns where it wanted it. */
-	#drop(id: string): string | undefined {
-		const wish = this.#wishes.get(id);
-		if (!wish) {
+	#withdraw(id: string): string | undefined {
+		const request = this.#requests.get(id);
+		if (!request) {
 			return undefined;
 		}
 
-		this.#wishes.delete(id);
-		const waiters = this.#waiters.get(wish.endpoint)!;
-		waiters.delete(id);
-		if (waiters.size === 0) {
-			this.#waiters.delete(wish.endpoint);
+		this.#requests.delete(id);
+		const waiterIds = this.#waiterIds.get(request.endpoint)!;
+		waiterIds.delete(id);
+		if (waiterIds.size === 0) {
+			this.#waiterIds.delete(request.endpoint);
 		}
 
-		return wish.endpoint;
+		return request.endpoint;
 	}
 }
--- a/packages/direct/src/stream-call.ts
+++ b/packages/direct/src/stream-call.ts
@@ -9,8 +9,8 @@
 import {
 	chooseService, isProvenNotRun, type CallOutcome, type CallerRequest, type CallSettings,
 } from './call.js';
-import {crasherReason, noteBrokenAttempt} from './crash-watch.js';
-import {CallTurn, type TurnAnswer} from './call-turn.js';
+import {poisonRequestReason, recordBrokenAttempt} from './poison-requests.js';
+import {CallAdmission, type AdmissionOutcome} from './call-admission.js';
 import {resumeStream} from './resumed-stream.js';
 import {BegunRuns} from './run-meter.js';
 import {RestartWatch} from './restart-watch.js';
@@ -32,14 +32,14 @@
 	/** Endpoints that are not asked again. */
 	readonly #excluded = new Set<string>();
 	/** Runs that have begun, or may have. */
-	#begun = 0;
+	#begunCount = 0;
 	/** The same by endpoint, as they count for the customer. */
 	readonly #runs: BegunRuns;
 	/** Where it runs at present. */
-	#endpoint: string | undefined;
+	#currentEndpoint: string | undefined;
 	#restart: RestartWatch | undefined;
 	#lastReason = 'no endpoint is registered';
-	readonly #turn: CallTurn;
+	readonly #admission: CallAdmission;
 	#hasWaited = false;
 	/** Aborts when the caller waits no longer for the beginning. */
 	readonly #deadline = new AbortController();
@@ -52,13 +52,13 @@
 		this.#signal = signal;
 		this.#service = chooseService(route, settings.random.next());
 		this.#runs = new BegunRuns(request.customer, settings.meter);
-		this.#turn = new CallTurn(settings, route, request, this.#service);
+		this.#admission = new CallAdmission(settings, route, request, this.#service);
 	}
 
 	async open(): Promise<StreamOutcome> {
 		const refusalMs = this.#settings.crashers?.findRefusalMs(this.#request);
 		if (refusalMs !== undefined) {
-			return {kind: 'not-run', reason: crasherReason, retryAfterMs: refusalMs};
+			return {kind: 'not-run', reason: poisonRequestReason, retryAfterMs: refusalMs};
 		}
 
 		const timer = setTimeout(() => {
@@ -87,12 +87,12 @@
 
 	/** Goes on after an event; undefined if no endpoint can. */
 	async #reopen(after: number | undefined): Promise<ServingStream | undefined> {
-		if (this.#endpoint !== undefined && !this.#restart?.hasRestarted) {
-			this.#settings.directory.recordFailure(this.#endpoint);
+		if (this.#currentEndpoint !== undefined && !this.#restart?.hasRestarted) {
+			this.#settings.directory.recordFailure(this.#currentEndpoint);
 		}
 
 		this.#release();
-		const mayAsk = this.#begun < this.#route.maxAttempts && performance.now() < this.#request.deadlineAt;
+		const mayAsk = this.#begunCount < this.#route.maxAttempts && performance.now() < this.#request.deadlineAt;
 		const outcome = mayAsk ? await this.#attemptAll(after) : undefined;
 		if (!outcome || 'kind' in outcome) {
 			return undefined;
@@ -106,13 +106,13 @@
 	async #attemptAll(after: number | undefined): Promise<OpenAttempt | Exclude<StreamOutcome, {kind: 'opened'}>> {
 		while (!this.#signal.aborted && !this.#deadline.signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
-			const turn = await this.#take();
+			const turn = await this.#acquire();
 			if (turn.kind !== 'granted') {
-				return this.#refuse(turn);
+				return this.#toRefusal(turn);
 			}
 
 			const {endpoint} = turn;
-			this.#endpoint = endpoint.id;
+			this.#currentEndpoint = endpoint.id;
 			this.#excluded.add(endpoint.id);
 			// An attempt depends on what became of the one before.
 			// eslint-disable-next-line no-await-in-loop
@@ -133,24 +133,24 @@
 	}
 
 	/** Only the first attempt waits for its turn. */
-	async #take(): Promise<TurnAnswer> {
+	async #acquire(): Promise<AdmissionOutcome> {
 		if (!this.#hasWaited) {
 			this.#hasWaited = true;
-			return this.#turn.wait(AbortSignal.any([this.#signal, this.#deadline.signal]));
+			return this.#admission.wait(AbortSignal.any([this.#signal, this.#deadline.signal]));
 		}
 
-		const endpoint = this.#turn.take(this.#excluded);
+		const endpoint = this.#admission.acquire(this.#excluded);
 		return endpoint ? {kind: 'granted', endpoint} : {kind: 'none'};
 	}
 
-	#refuse(turn: Exclude<TurnAnswer, {kind: 'granted'}>): Exclude<StreamOutcome, {kind: 'opened'}> {
+	#toRefusal(turn: Exclude<AdmissionOutcome, {kind: 'granted'}>): Exclude<StreamOutcome, {kind: 'opened'}> {
 		if (this.#signal.aborted || this.#deadline.signal.aborted) {
 			return this.#conclude();
 		}
 
 		return turn.kind === 'refused'
 			? {kind: 'not-run', reason: turn.reason, retryAfterMs: turn.retryAfterMs}
-			: {kind: 'not-run', reason: this.#lastReason, retryAfterMs: this.#settings.directory.planReturn(this.#service)};
+			: {kind: 'not-run', reason: this.#lastReason, retryAfterMs: this.#settings.directory.planRetryAfterMs(this.#service)};
 	}
 
 	/** Asks one endpoint; undefined if it has proven that nothing has run there. */
@@ -160,15 +160,15 @@
 		const stop = new AbortController();
 		const restart = new RestartWatch(directory, id);
 		this.#restart = restart;
-		const watch = this.#route.isResumable ? new SilenceWatch(stop, () => directory.findHeardAt(id)) : undefined;
+		const watch = this.#route.isResumable ? new SilenceWatch(stop, () => directory.findLastReceivedAt(id)) : undefined;
 		try {
 			this.#runs.add(id);
-			const stream = await client.open(endpoint, this.#toServing(after), AbortSignal.any([this.#signal, this.#deadline.signal, stop.signal, restart.signal]));
+			const stream = await client.open(endpoint, this.#toServingRequest(after), AbortSignal.any([this.#signal, this.#deadline.signal, stop.signal, restart.signal]));
 			directory.recordHead(id, stream);
 			if (!stream.isNotRun) {
-				this.#begun += 1;
-				const body = this.#tellEnd(id, stream.body, restart);
-				return {endpoint, stream: {...stream, body: watch ? watchBody(body, watch) : body}};
+				this.#begunCount += 1;
+				const body = this.#reportEnd(id, stream.body, restart);
+				return {endpoint, stream: {...stream, body: watch ? watchSilence(body, watch) : body}};
 			}
 
 			watch?.end();
@@ -188,14 +188,14 @@
 				directory.recordFailure(id);
 			}
 
-			this.#noteBroken(id, error, restart);
+			this.#recordBroken(id, error, restart);
 			if (isProvenNotRun(error)) {
 				this.#runs.delete(id);
 				return undefined;
 			}
 
-			this.#begun += 1;
-			if (this.#route.isResumable && this.#begun < this.#route.maxAttempts) {
+			this.#begunCount += 1;
+			if (this.#route.isResumable && this.#begunCount < this.#route.maxAttempts) {
 				return undefined;
 			}
 
@@ -204,19 +204,19 @@
 		}
 	}
 
-	#noteBroken(endpoint: string, error: unknown, {hasRestarted}: RestartWatch): void {
-		noteBrokenAttempt(this.#settings.crashers, {
+	#recordBroken(endpoint: string, error: unknown, {hasRestarted}: RestartWatch): void {
+		recordBrokenAttempt(this.#settings.crashers, {
 			endpoint, request: this.#request, isNotRun: isProvenNotRun(error), hasRestarted,
 		});
 	}
 
 	/** Hands a body on and tells how it ended: only a whole one shows that the request crashes nothing. */
-	async * #tellEnd(id: string, body: AsyncIterable<Uint8Array>, restart: RestartWatch): AsyncIterable<Uint8Array> {
+	async * #reportEnd(id: string, body: AsyncIterable<Uint8Array>, restart: RestartWatch): AsyncIterable<Uint8Array> {
 		try {
 			yield * body;
 		} catch (error) {
 			if (!this.#signal.aborted) {
-				this.#noteBroken(id, error, restart);
+				this.#recordBroken(id, error, restart);
 			}
 
 			throw error;
@@ -227,23 +227,23 @@
 
 	#release(): void {
 		this.#restart?.end();
-		if (this.#endpoint !== undefined) {
-			this.#settings.directory.release(this.#endpoint);
-			this.#endpoint = undefined;
+		if (this.#currentEndpoint !== undefined) {
+			this.#settings.directory.release(this.#currentEndpoint);
+			this.#currentEndpoint = undefined;
 		}
 	}
 
-	#toServing(after: number | undefined): ServingRequest {
+	#toServingRequest(after: number | undefined): ServingRequest {
 		const {deadlineAt, place, ...request} = this.#request;
 		return {...request, remainingMs: Math.max(1, Math.round(deadlineAt - performance.now())), ...(after === undefined ? {} : {resumeAfter: after})};
 	}
 }
 
 /** Hands a body on and tells the watch of each piece. */
-async function * watchBody(body: AsyncIterable<Uint8Array>, watch: SilenceWatch): AsyncIterable<Uint8Array> {
+async function * watchSilence(body: AsyncIterable<Uint8Array>, watch: SilenceWatch): AsyncIterable<Uint8Array> {
 	try {
 		for await (const chunk of body) {
-			watch.note();
+			watch.recordReceived();
 			yield chunk;
 		}
 	} finally {
--- a/packages/direct/src/weight-orders.ts
+++ b/packages/direct/src/weight-orders.ts
@@ -15,17 +15,17 @@
 	describeError, groupBy, type HeldModel, type Log, type RegisteredEndpoint,
 } from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
-import {isOfStart} from './restart-watch.js';
+import {isOfIncarnation} from './restart-watch.js';
 import {LoadSchedule} from './load-schedule.js';
 import type {WeightLoad} from './load-windows.js';
 
 /** The right to give orders; a `LeaseHolder` has this shape. */
-export type OrderRight = {readonly fence: number; holds(roomMs?: number): boolean};
+export type OrderLease = {readonly fence: number; holds(roomMs?: number): boolean};
 
 export type WeightOrdersSettings = {
 	directory: EndpointDirectory;
 	client: ServingClient;
-	right: OrderRight;
+	right: OrderLease;
 	/** Time for which the right must last beyond the send of an order, in milliseconds; 0 where endpoints refuse an old fence themselves. */
 	orderRoomMs?: number;
 	/** Name of this process, told with each order. */
@@ -51,37 +51,37 @@
  * Part of the endpoints that follow one model which load it at once: if both of a model's two endpoints loaded together, none could make its
  * samples for about a second.
  */
-const modelFraction = 0.5;
+const modelLoadingFraction = 0.5;
 
 /** Time between looks at an endpoint that carries out an order, in milliseconds; a load takes about a second and a report is priced as a probe. */
-const reportMs = 150;
+const reportIntervalMs = 150;
 
 /** Time after which an endpoint that carries out an order is no longer waited for, in milliseconds: several times a slow load. */
-const orderMs = 15_000;
+const orderTimeoutMs = 15_000;
 
 /** Pause before an endpoint that did not take an order is asked again, in milliseconds. */
 const retryMs = 300;
 
 /** Time for which other work is kept from an endpoint that was told to load, in milliseconds; its reports prolong it. */
-const holdBackMs = 250;
+const loadPauseMs = 250;
 
 /**
  * Age that a report may have, in milliseconds: endpoints tell what was some hundred milliseconds ago. An endpoint that has just begun
  * to load must not be taken for one that has not taken its order, or two endpoints of a model load together.
  */
-const reportLagMs = 600;
+const maxReportAgeMs = 600;
 
 /**
  * Longest time for which the places of models hold, in milliseconds; a change of endpoints or versions ends it at once. Working them out
  * for 10,000 endpoints takes longer than the time between two looks.
  */
-const placesMs = 1000;
+const maxAssignmentAgeMs = 1000;
 
 /** How much longer than usual a load is waited for: those that begin together slow one another down. */
 const loadMargin = 1.25;
 
 /** Which models each endpoint of a service follows, and the number of endpoints and the versions that this was worked out from. */
-type Places = {placed: ReadonlyMap<string, readonly string[]>; basis: string; madeAt: number};
+type ModelAssignments = {models: ReadonlyMap<string, readonly string[]>; basis: string; madeAt: number};
 
 type Transition = {
 	model: string;
@@ -91,7 +91,7 @@
 	/** The start of the endpoint that was told. */
 	bornMs: number | undefined;
 	startedAt: number;
-	nextLookAt: number;
+	nextCheckAt: number;
 };
 
 /** Gives orders for weights. */
@@ -100,12 +100,12 @@
 	readonly #policy: Policy;
 	readonly #schedule: LoadSchedule;
 	readonly #loading = new Map<string, Transition>();
-	readonly #notBefore = new Map<string, number>();
+	readonly #retryAt = new Map<string, number>();
 	/** Models that endpoints are just being told to load. */
-	readonly #busy = new Map<string, string>();
+	readonly #ordering = new Map<string, string>();
 	/** By service. */
-	readonly #places = new Map<string, Places>();
-	#orderedAt = Number.NEGATIVE_INFINITY;
+	readonly #assignments = new Map<string, ModelAssignments>();
+	#lastOrderAt = Number.NEGATIVE_INFINITY;
 
 	constructor(settings: WeightOrdersSettings) {
 		this.#settings = settings;
@@ -115,13 +115,13 @@
 
 	/** Milliseconds since this process last sent an order; infinite if it never did. */
 	get sinceOrderMs(): number {
-		return performance.now() - this.#orderedAt;
+		return performance.now() - this.#lastOrderAt;
 	}
 
 	/** Learns of a published version; an older one than known is ignored. */
 	publish(model: string, version: number): void {
 		this.#schedule.publish(model, version);
-		this.#settings.directory.loads.notePublished(model, this.findPublished(model) ?? version);
+		this.#settings.directory.loads.recordPublished(model, this.findPublished(model) ?? version);
 	}
 
 	/** The newest published version of a model. */
@@ -145,29 +145,29 @@
 		const {isServed = () => true} = this.#settings;
 		const services = groupBy(directory.list().filter(({service}) => isServed(service)), ({service}) => service);
 		for (const endpoints of services.values()) {
-			this.#look(endpoints);
-			this.#order(endpoints, this.#findPlaces(endpoints));
+			this.#checkOrders(endpoints);
+			this.#orderDue(endpoints, this.#findAssignments(endpoints));
 		}
 	}
 
 	/** Which models each endpoint follows; those that leave follow none. */
-	#findPlaces(endpoints: readonly RegisteredEndpoint[]): ReadonlyMap<string, readonly string[]> {
+	#findAssignments(endpoints: readonly RegisteredEndpoint[]): ReadonlyMap<string, readonly string[]> {
 		const {service} = endpoints[0]!;
 		const serving = endpoints.filter(({isDraining}) => !isDraining);
 		const basis = [serving.length, ...this.#schedule.versions.values()].join(' ');
-		const known = this.#places.get(service);
+		const known = this.#assignments.get(service);
 		const now = performance.now();
-		if (known?.basis === basis && now - known.madeAt < placesMs) {
-			return known.placed;
+		if (known?.basis === basis && now - known.madeAt < maxAssignmentAgeMs) {
+			return known.models;
 		}
 
-		const placed = this.#place(serving);
-		this.#places.set(service, {placed, basis, madeAt: now});
-		this.#tell(known?.placed, placed);
-		return placed;
+		const assigned = this.#assign(serving);
+		this.#assignments.set(service, {models: assigned, basis, madeAt: now});
+		this.#logChanges(known?.models, assigned);
+		return assigned;
 	}
 
-	#place(endpoints: readonly RegisteredEndpoint[]): Map<string, readonly string[]> {
+	#assign(endpoints: readonly RegisteredEndpoint[]): Map<string, readonly string[]> {
 		const {directory, findNeeds} = this.#settings;
 		return placeModels({
 			holders: endpoints.map(({id, models}) => ({
@@ -175,39 +175,39 @@
 			})),
 			published: this.#schedule.versions,
 			needs: findNeeds?.() ?? new Map<string, ModelNeed>(),
-			last: new Map([...this.#places.values()].flatMap(({placed}) => [...placed]).flatMap(([id, models]) => models.length === 1 ? [[id, models[0]!]] : [])),
+			last: new Map([...this.#assignments.values()].flatMap(({models: assigned}) => [...assigned]).flatMap(([id, models]) => models.length === 1 ? [[id, models[0]!]] : [])),
 		}, this.#policy.placement);
 	}
 
 	/** Logs which endpoints have changed their models. */
-	#tell(before: ReadonlyMap<string, readonly string[]> | undefined, placed: ReadonlyMap<string, readonly string[]>): void {
+	#logChanges(before: ReadonlyMap<string, readonly string[]> | undefined, assigned: ReadonlyMap<string, readonly string[]>): void {
 		const {directory, findNeeds, log} = this.#settings;
-		const needs = findNeeds?.();
-		for (const [endpoint, models] of placed) {
+		const demands = findNeeds?.();
+		for (const [endpoint, models] of assigned) {
 			const from = before?.get(endpoint)?.join(',');
 			if (models.length === 1 && models[0] !== from) {
 				log.info('endpoint_placed', {
-					endpoint, model: models[0], from, work: needs?.get(models[0]!)?.work, longest: needs?.get(models[0]!)?.longest, classMs: directory.findClassMs(endpoint),
+					endpoint, model: models[0], from, work: demands?.get(models[0]!)?.work, longest: demands?.get(models[0]!)?.longest, classMs: directory.findClassMs(endpoint),
 				});
 			}
 		}
 	}
 
 	/** Looks after orders under way. */
-	#look(endpoints: readonly RegisteredEndpoint[]): void {
+	#checkOrders(endpoints: readonly RegisteredEndpoint[]): void {
 		const now = performance.now();
 		for (const endpoint of endpoints) {
 			const transition = this.#loading.get(endpoint.id);
-			if (transition && !isOfStart(transition.bornMs, endpoint)) {
+			if (transition && !isOfIncarnation(transition.bornMs, endpoint)) {
 				this.#loading.delete(endpoint.id);
-				this.#notBefore.delete(endpoint.id);
+				this.#retryAt.delete(endpoint.id);
 			} else if (transition && this.#holds(endpoint, transition)) {
 				this.#finish(endpoint, transition);
-			} else if (transition && now - transition.startedAt > orderMs) {
+			} else if (transition && now - transition.startedAt > orderTimeoutMs) {
 				this.#loading.delete(endpoint.id);
-			} else if (transition && now >= transition.nextLookAt) {
-				transition.nextLookAt = now + reportMs;
-				void this.#readReport(endpoint, transition);
+			} else if (transition && now >= transition.nextCheckAt) {
+				transition.nextCheckAt = now + reportIntervalMs;
+				void this.#checkReport(endpoint, transition);
 			}
 		}
 	}
@@ -225,35 +225,35 @@
 		});
 	}
 
-	async #readReport(endpoint: RegisteredEndpoint, transition: Transition): Promise<void> {
-		const report = await this.#askReport(endpoint);
+	async #checkReport(endpoint: RegisteredEndpoint, transition: Transition): Promise<void> {
+		const report = await this.#fetchReport(endpoint);
 		if (!report) {
 			return;
 		}
 
 		const isOpen = this.#loading.get(endpoint.id) === transition && !this.#holds(endpoint, transition);
 		const isTaken = report.isBusy || report.orderCount > transition.expectedOrders;
-		if (isOpen && (isTaken || performance.now() - transition.startedAt < reportLagMs)) {
-			this.#settings.directory.pause(endpoint.id, holdBackMs);
+		if (isOpen && (isTaken || performance.now() - transition.startedAt < maxReportAgeMs)) {
+			this.#settings.directory.pause(endpoint.id, loadPauseMs);
 		} else if (isOpen) {
 			// Neither under way nor done: the order was not taken.
 			this.#loading.delete(endpoint.id);
-			this.#tellLoad({endpoint: endpoint.id, model: transition.model, version: transition.version}, 0);
-			this.#notBefore.set(endpoint.id, performance.now() + retryMs);
+			this.#announceLoad({endpoint: endpoint.id, model: transition.model, version: transition.version}, 0);
+			this.#retryAt.set(endpoint.id, performance.now() + retryMs);
 		}
 	}
 
-	#tellLoad(load: WeightLoad, forMs: number): void {
+	#announceLoad(load: WeightLoad, forMs: number): void {
 		this.#settings.directory.loads.note(load, forMs);
 		this.#settings.tellLoad?.(load, forMs);
 	}
 
-	async #askReport(endpoint: RegisteredEndpoint): Promise<ServingReport | undefined> {
+	async #fetchReport(endpoint: RegisteredEndpoint): Promise<ServingReport | undefined> {
 		const {client, directory, log} = this.#settings;
 		try {
 			const report = await client.report(endpoint);
 			const registered = directory.get(endpoint.id) ?? endpoint;
-			if (![endpoint.bornMs, report.bornMs].every(bornMs => isOfStart(bornMs, registered))) {
+			if (![endpoint.bornMs, report.bornMs].every(bornMs => isOfIncarnation(bornMs, registered))) {
 				log.info('report_of_other_start', {endpoint: endpoint.id, registered: registered.bornMs, told: report.bornMs});
 				return undefined;
 			}
@@ -269,32 +269,32 @@
 		}
 	}
 
-	#order(endpoints: readonly RegisteredEndpoint[], placed: ReadonlyMap<string, readonly string[]>): void {
-		const most = Math.max(1, Math.round(endpoints.length * loadingFraction));
-		let free = most - endpoints.filter(({id}) => this.#loading.has(id) || this.#busy.has(id)).length;
+	#orderDue(endpoints: readonly RegisteredEndpoint[], assigned: ReadonlyMap<string, readonly string[]>): void {
+		const maxLoading = Math.max(1, Math.round(endpoints.length * loadingFraction));
+		let free = maxLoading - endpoints.filter(({id}) => this.#loading.has(id) || this.#ordering.has(id)).length;
 		const now = performance.now();
-		const dueModels = this.#listDue(endpoints, placed, most);
+		const dueModels = this.#listDue(endpoints, assigned, maxLoading);
 		const due = endpoints
-			.filter(({id, isDraining}) => !isDraining && !this.#loading.has(id) && !this.#busy.has(id) && (this.#notBefore.get(id) ?? 0) <= now)
+			.filter(({id, isDraining}) => !isDraining && !this.#loading.has(id) && !this.#ordering.has(id) && (this.#retryAt.get(id) ?? 0) <= now)
 			.flatMap(endpoint => {
-				const wanted = this.#findWanted(endpoint, (placed.get(endpoint.id) ?? []).filter(model => dueModels.has(model) || this.#isTooOld(endpoint, model)));
-				return wanted ? [{endpoint, wanted}] : [];
+				const pending = this.#findPendingVersion(endpoint, (assigned.get(endpoint.id) ?? []).filter(model => dueModels.has(model) || this.#isTooOld(endpoint, model)));
+				return pending ? [{endpoint, pending}] : [];
 			})
 			// The oldest weights first: they hold up the most; then the least busy.
-			.toSorted((a, b) => a.wanted.from - b.wanted.from || this.#settings.directory.countOpen(a.endpoint.id) - this.#settings.directory.countOpen(b.endpoint.id));
-		for (const {endpoint, wanted} of due) {
+			.toSorted((a, b) => a.pending.from - b.pending.from || this.#settings.directory.countOpen(a.endpoint.id) - this.#settings.directory.countOpen(b.endpoint.id));
+		for (const {endpoint, pending} of due) {
 			if (free <= 0) {
 				return;
 			}
 
-			if (!this.#mayLoad(wanted.model, placed)) {
+			if (!this.#mayLoad(pending.model, assigned)) {
 				continue;
 			}
 
 			free -= 1;
-			this.#busy.set(endpoint.id, wanted.model);
-			void this.#give(endpoint, wanted.model, wanted.version).finally(() => {
-				this.#busy.delete(endpoint.id);
+			this.#ordering.set(endpoint.id, pending.model);
+			void this.#sendOrder(endpoint, pending.model, pending.version).finally(() => {
+				this.#ordering.delete(endpoint.id);
 			});
 		}
 	}
@@ -305,29 +305,29 @@
 	}
 
 	/** Models whose endpoints should load now. */
-	#listDue(endpoints: readonly RegisteredEndpoint[], placed: ReadonlyMap<string, readonly string[]>, most: number): Set<string> {
+	#listDue(endpoints: readonly RegisteredEndpoint[], assigned: ReadonlyMap<string, readonly string[]>, maxLoading: number): Set<string> {
 		return new Set([...this.#schedule.versions].filter(([model, version]) => {
-			const followers = listFollowers(placed, model);
+			const followers = listFollowers(assigned, model);
 			const left = followers.filter(id => (this.#settings.directory.findVersion(id, model) ?? 0) < version).length;
 			// Of what the service may load at once a model has its part.
-			const part = Math.round(most * followers.length / Math.max(1, endpoints.length));
-			return left > 0 && this.#schedule.isDue({model, endpoints: left, width: Math.min(part, this.#findWidth(followers.length))});
+			const part = Math.round(maxLoading * followers.length / Math.max(1, endpoints.length));
+			return left > 0 && this.#schedule.isDue({model, endpoints: left, width: Math.min(part, this.#findMaxLoading(followers.length))});
 		}).map(([model]) => model));
 	}
 
 	/** How many of the endpoints that follow a model may load it at once. */
-	#findWidth(followers: number): number {
-		return this.#policy.staggersLoads ? Math.max(1, Math.floor(followers * modelFraction)) : followers;
+	#findMaxLoading(followers: number): number {
+		return this.#policy.staggersLoads ? Math.max(1, Math.floor(followers * modelLoadingFraction)) : followers;
 	}
 
 	/** Whether one more of the endpoints that follow a model may load it. */
-	#mayLoad(model: string, placed: ReadonlyMap<string, readonly string[]>): boolean {
-		const followers = listFollowers(placed, model);
-		const loading = followers.filter(id => this.#loading.get(id)?.model === model || this.#busy.get(id) === model).length;
-		return loading < this.#findWidth(followers.length);
+	#mayLoad(model: string, assigned: ReadonlyMap<string, readonly string[]>): boolean {
+		const followers = listFollowers(assigned, model);
+		const loading = followers.filter(id => this.#loading.get(id)?.model === model || this.#ordering.get(id) === model).length;
+		return loading < this.#findMaxLoading(followers.length);
 	}
 
-	#findWanted({id}: RegisteredEndpoint, models: readonly string[]): {model: string; version: number; from: number} | undefined {
+	#findPendingVersion({id}: RegisteredEndpoint, models: readonly string[]): {model: string; version: number; from: number} | undefined {
 		for (const model of models) {
 			const version = this.#schedule.findVersion(model) ?? 0;
 			const from = this.#settings.directory.findVersion(id, model) ?? 0;
@@ -340,12 +340,12 @@
 	}
 
 	/** Reads how many orders the endpoint has accepted, then gives the order on that condition. */
-	async #give(endpoint: RegisteredEndpoint, model: string, version: number): Promise<void> {
+	async #sendOrder(endpoint: RegisteredEndpoint, model: string, version: number): Promise<void> {
 		const {right, client, holder, directory, log, chooseMode, orderRoomMs} = this.#settings;
-		const report = await this.#askReport(endpoint);
-		const holdsIt = (directory.findVersion(endpoint.id, model) ?? 0) >= version;
-		if (!report || report.isBusy || holdsIt) {
-			this.#notBefore.set(endpoint.id, performance.now() + retryMs);
+		const report = await this.#fetchReport(endpoint);
+		const isHeld = (directory.findVersion(endpoint.id, model) ?? 0) >= version;
+		if (!report || report.isBusy || isHeld) {
+			this.#retryAt.set(endpoint.id, performance.now() + retryMs);
 			return;
 		}
 
@@ -356,12 +356,12 @@
 		}
 
 		const startedAt = performance.now();
-		this.#orderedAt = startedAt;
+		this.#lastOrderAt = startedAt;
 		this.#loading.set(endpoint.id, {
-			model, version, expectedOrders: report.orderCount, bornMs: endpoint.bornMs, startedAt, nextLookAt: startedAt + reportMs,
+			model, version, expectedOrders: report.orderCount, bornMs: endpoint.bornMs, startedAt, nextCheckAt: startedAt + reportIntervalMs,
 		});
-		directory.pause(endpoint.id, holdBackMs);
-		this.#tellLoad({endpoint: endpoint.id, model, version}, this.#schedule.loadMs * loadMargin);
+		directory.pause(endpoint.id, loadPauseMs);
+		this.#announceLoad({endpoint: endpoint.id, model, version}, this.#schedule.loadMs * loadMargin);
 		try {
 			const outcome = await client.order(endpoint, {
 				model, version, mode: chooseMode(endpoint.service), expectedOrders: report.orderCount, holder, fence,
@@ -369,7 +369,7 @@
 			log.info('weights_ordered', {
 				endpoint: endpoint.id, model, version, outcome, fence, expected: report.orderCount,
 			});
-			this.#noteOutcome(endpoint, {model, version}, outcome);
+			this.#recordOutcome(endpoint, {model, version}, outcome);
 		} catch (error) {
 			// It may be carried out late; the report tells, and a repeat on the same condition does no harm.
 			log.warn('order_unanswered', {
@@ -378,7 +378,7 @@
 		}
 	}
 
-	#noteOutcome({id}: RegisteredEndpoint, wanted: HeldModel, outcome: OrderOutcome): void {
+	#recordOutcome({id}: RegisteredEndpoint, pending: HeldModel, outcome: OrderOutcome): void {
 		if (outcome === 'misdirected') {
 			// Its registration names a server that is not there, so it would be asked again and again.
 			this.#settings.directory.recordMisdirected(id);
@@ -386,12 +386,12 @@
 
 		if (outcome !== 'accepted') {
 			this.#loading.delete(id);
-			this.#tellLoad({endpoint: id, ...wanted}, 0);
-			this.#notBefore.set(id, performance.now() + (outcome === 'fenced' ? orderMs : retryMs));
+			this.#announceLoad({endpoint: id, ...pending}, 0);
+			this.#retryAt.set(id, performance.now() + (outcome === 'fenced' ? orderTimeoutMs : retryMs));
 		}
 	}
 }
 
-function listFollowers(placed: ReadonlyMap<string, readonly string[]>, model: string): string[] {
-	return [...placed].filter(([, models]) => models.includes(model)).map(([id]) => id);
+function listFollowers(assigned: ReadonlyMap<string, readonly string[]>, model: string): string[] {
+	return [...assigned].filter(([, models]) => models.includes(model)).map(([id]) => id);
 }
