--- a/packages/direct/src/call-admission.ts
+++ b/packages/direct/src/call-admission.ts
@@ -1,45 +1,45 @@
 /**
- * The turn of one call in the line of its host: it waits shortly for a slot, or is refused at once.
+ * Admits a call through the wait queue of its host: the call waits briefly for a slot or is refused early.
  *
- * Load pattern: a burst meets endpoints that let a few requests wait and refuse the rest. Sent on as it comes, it fills their queues with what is late in
- * any case, and others find no place; and endpoints that have refused are left alone for a moment, with slots that become free. A call waits here for a part
- * of its time and is refused then, while it can still be served elsewhere. A score, which nobody else would make, is offered all the same.
+ * Load pattern: a burst of calls reaches endpoints that queue a few requests and refuse the rest. Forwarded unchecked, the burst fills the endpoints' queues
+ * with calls that will be late anyway and displaces other calls; endpoints that have refused are then paused although their slots become free. A call therefore
+ * waits here for a fraction of its objective and is refused while it can still be served elsewhere. A score, which no other host would make, is sent anyway.
  */
 import type {WorkKind} from '@wasabiusher/slots';
 import type {RegisteredEndpoint, Route} from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
 import type {EndpointLine} from './endpoint-queue.js';
 
-/** Part of its objective for which a call waits: one that is refused within a quarter can still be served elsewhere in time. */
+/** Maximum wait of a call as a fraction of its objective: a call refused within a quarter of it can still be served elsewhere in time. */
 const maxWaitRatio = 0.2;
 
-/** Part of its objective after which a call that comes back is due: sooner than newcomers. */
+/** Fraction of its objective after which a retried call is due, so that it precedes new calls. */
 const returnDueRatio = 0.5;
 
-/** How a request waits, where that differs from a caller's. */
+/** Position of a request in the wait queue, for requests that don't wait as a caller's does. */
 export type CallPlace = {
 	kind: WorkKind;
 	urgency: number;
 	turn: string;
-	/** When it should be done, on the monotonic clock. */
+	/** When the request is due, on the monotonic clock. */
 	dueAt: number;
 	rank?: number;
-	/** How long it waits for a slot before it is offered to any endpoint, in milliseconds; a caller's is refused then. */
+	/** Maximum wait for a slot in milliseconds. Afterwards any endpoint may serve the request; a caller's own request is refused instead. */
 	patienceMs: number;
 };
 
 export type CallAdmissionSettings = {
 	directory: EndpointDirectory;
-	/** Where it waits; undefined if it is sent at once. */
+	/** Wait queue for slots; undefined to send calls at once. */
 	line?: EndpointLine;
 };
 
-/** What a call is, for the line. */
+/** Properties of a call that its admission depends on. */
 export type AdmissionRequest = {attemptId: string; method: string; path: string; customer?: string; deadlineAt: number; place?: CallPlace};
 
 export type AdmissionOutcome = {kind: 'granted'; endpoint: RegisteredEndpoint} | {kind: 'refused'; reason: string; retryAfterMs: number} | {kind: 'none'};
 
-/** The turn of one call. */
+/** Admits one call. */
 export class CallAdmission {
 	readonly #settings: CallAdmissionSettings;
 	readonly #route: Route;
@@ -53,7 +53,7 @@
 		this.#service = service;
 	}
 
-	/** Waits for the first endpoint of a call. */
+	/** Waits for an endpoint for the first attempt. */
 	async wait(signal: AbortSignal): Promise<AdmissionOutcome> {
 		const {line} = this.#settings;
 		if (!line) {
@@ -83,19 +83,19 @@
 		return final;
 	}
 
-	/** An endpoint for a further attempt, at once; a caller's needs one that has room. */
+	/** Acquires an endpoint for a further attempt without waiting; where calls queue, a caller's request needs one with headroom. */
 	acquire(excluded: ReadonlySet<string>): RegisteredEndpoint | undefined {
 		const {directory, line} = this.#settings;
 		const withHeadroom = line && directory.acquire({service: this.#service, excluded, needsHeadroom: true});
 		return withHeadroom ?? (line && !this.#request.place ? undefined : directory.acquire({service: this.#service, excluded}));
 	}
 
-	/** Learns how long an attempt took, in milliseconds. */
+	/** Records the service time of an attempt, in milliseconds. */
 	recordWork(workMs: number): void {
 		this.#settings.line?.recordWork(this.#service, workMs);
 	}
 
-	/** How a caller's request waits; one that was refused here before goes before newcomers, and is not refused again at once. */
+	/** Position of a caller's request. A retry of a refused request precedes new ones and is not refused at once again. */
 	#findPosition(line: EndpointLine, now: number): CallPlace & {isRefusable: boolean} {
 		const {objectiveMs, priority, name} = this.#route;
 		const isReturning = line.returns.take(this.#returnKey);
@@ -105,7 +105,7 @@
 		};
 	}
 
-	/** Names the request in all attempts of its caller. */
+	/** Identifies the request across retries of its caller. */
 	get #returnKey(): string {
 		const {customer, method, path} = this.#request;
 		return [customer, method, path].join(' ');
@@ -116,7 +116,7 @@
 		return endpoint ? {kind: 'granted', endpoint} : {kind: 'none'};
 	}
 
-	/** What one gets that has waited for all of its time. */
+	/** Result for a call whose maximum wait has passed: an endpoint if one is eligible, otherwise a refusal for a caller's request. */
 	#acquireOrRefuse(): AdmissionOutcome {
 		const {directory} = this.#settings;
 		const granted = this.#acquireNow();
--- a/packages/direct/src/call.ts
+++ b/packages/direct/src/call.ts
@@ -1,5 +1,5 @@
 /**
- * A caller's request on the direct way: attempts, retries, second attempts and the proof of "not run".
+ * Runs a caller's request directly at endpoints: attempts, retries, hedged attempts and the proof that nothing has run.
  */
 import {defaultPolicy, type Policy, type RetryBudget} from '@wasabiusher/decisions';
 import {
@@ -15,20 +15,20 @@
 import {BegunRuns, type RunMeter} from './run-meter.js';
 import {RestartWatch} from './restart-watch.js';
 
-/** A request as a caller has sent it. */
+/** A request as the caller has sent it. */
 export type CallerRequest = Omit<ServingRequest, 'remainingMs'> & {
 	/** When the caller stops waiting, on the monotonic clock. */
 	deadlineAt: number;
-	/** How it waits at the host; as its route says if undefined. */
+	/** Its position in the wait queue of the host; derived from its route if undefined. */
 	place?: CallPlace;
 };
 
 /**
- * - `answered`: the endpoint's own answer, success or not
- * - `not-run`: nothing has run nor will
- * - `unknown`: it may have run
- * - `timeout`: the time is up; `hasSent` tells whether an endpoint may have run it
- * - `stopped`: the caller has left
+ * - `answered`: an endpoint's own answer, successful or not
+ * - `not-run`: the request has not run and will not run; retry after `retryAfterMs` milliseconds
+ * - `unknown`: the request may have run
+ * - `timeout`: the deadline has passed; `hasSent` tells whether an endpoint may have run the request
+ * - `stopped`: the caller has disconnected
  */
 export type CallOutcome
 	= | {kind: 'answered'; answer: ServingAnswer; endpoint: string}
@@ -43,20 +43,20 @@
 	random: Random;
 	log: Log;
 	policy?: Policy;
-	/** Counts what begins to run; undefined if nobody wants to know. */
+	/** Counts requests that begin to run; undefined if they aren't counted. */
 	meter?: RunMeter;
-	/** Knows the requests that crash endpoints; undefined if nobody does. */
+	/** Tracks poison requests, which crash endpoints; undefined if they aren't tracked. */
 	crashers?: CrashWatch;
-	/** Where it waits for a slot; undefined if it is sent at once. */
+	/** Wait queue for slots; undefined to send requests at once. */
 	line?: EndpointLine;
-	/** Second attempts beside a slow first one, by service; undefined for no bound. */
+	/** Budget of hedged attempts by service; undefined for no limit. */
 	hedges?: RetryBudget;
 };
 
-/** Status of an endpoint that has run a request and failed. */
+/** HTTP status of an endpoint that has run a request and failed. */
 const serverErrorStatus = 500;
 
-/** Part of the objective after which a second attempt is started elsewhere; a retry can still meet the objective then. */
+/** Fraction of the route's objective after which a hedged attempt starts at another endpoint; it can still meet the objective then. */
 const hedgeRatio = 0.5;
 
 type AttemptOutcome
@@ -64,7 +64,11 @@
 		| {kind: 'not-run'; endpoint: string; reason: string}
 		| {kind: 'unknown'; endpoint: string; reason: string};
 
-/** Chooses the service of a request among a route's targets, by their weights. */
+/**
+ * Chooses one of the route's target services by their weights.
+ *
+ * @param chance - a random number in [0, 1)
+ */
 export function chooseService({targets}: Route, chance: number): string {
 	const total = targets.reduce((sum, {weight}) => sum + weight, 0);
 	let left = chance * total;
@@ -78,27 +82,27 @@
 	return targets.at(-1)!.service;
 }
 
-/** Runs one request of a caller; `run` is called once. */
+/** Runs one request of a caller; call `run` once. */
 export class DirectCall {
 	readonly #settings: CallSettings;
 	readonly #route: Route;
 	readonly #request: CallerRequest;
 	readonly #signal: AbortSignal;
 	readonly #service: string;
-	/** Endpoints that may have begun to run it. */
+	/** Endpoints that may have begun to run the request. */
 	readonly #mayHaveRun: BegunRuns;
-	/** Endpoints that are not asked again. */
+	/** Endpoints that were tried already. */
 	readonly #excluded = new Set<string>();
-	/** The endpoint's own failure, to be handed on if nothing better comes. */
+	/** The last failure that an endpoint has answered, returned if no attempt succeeds. */
 	#failure: {answer: ServingAnswer; endpoint: string} | undefined;
 	#failureCount = 0;
 	#lastReason = 'no endpoint is registered';
 	readonly #admission: CallAdmission;
 	#hasWaited = false;
-	/** Why it was not let in; undefined if it was. */
+	/** Why the wait queue refused the request; undefined if it did not. */
 	#refusal: {reason: string; retryAfterMs: number} | undefined;
 
-	/** @param signal - aborts when the caller has left */
+	/** @param signal - aborts when the caller has disconnected */
 	constructor(settings: CallSettings, route: Route, request: CallerRequest, signal: AbortSignal) {
 		this.#settings = settings;
 		this.#route = route;
@@ -109,7 +113,7 @@
 		this.#admission = new CallAdmission(settings, route, request, this.#service);
 	}
 
-	/** Calls until an answer has come, the time is up or nothing more may be tried. */
+	/** Makes attempts until one is answered, the deadline passes or no further attempt is allowed. */
 	async run(): Promise<CallOutcome> {
 		const refusalMs = this.#settings.crashers?.findRefusalMs(this.#request);
 		if (refusalMs !== undefined) {
@@ -125,12 +129,12 @@
 			return await this.#runAttempts(signal);
 		} finally {
 			clearTimeout(timer);
-			// Attempts that were not needed end with the call.
+			// Cancels the remaining attempts.
 			deadline.abort();
 		}
 	}
 
-	/** Endpoints that have run it and answered that it failed; one that broke off is not among them. */
+	/** Number of endpoints that ran the request and answered with status 500; broken connections don't count. */
 	get failureCount(): number {
 		return this.#failureCount;
 	}
@@ -141,7 +145,7 @@
 
 	async #runAttempts(signal: AbortSignal): Promise<CallOutcome> {
 		const pending = new Set<Promise<AttemptOutcome>>();
-		// The caller is answered in time, however long an attempt takes to notice that it is cut.
+		// The caller gets its answer in time even if an attempt is slow to notice that it was cancelled.
 		const ended = waitForAbort(signal);
 		let hedgeAt = Number.POSITIVE_INFINITY;
 		this.#settings.hedges?.recordFirstTry(this.#service);
@@ -155,7 +159,7 @@
 			}
 
 			const shouldStart = pending.size === 0 || performance.now() >= hedgeAt;
-			// Only the first attempt waits, while nothing else is under way.
+			// Only the first attempt waits in the queue, and nothing else is in progress then.
 			// eslint-disable-next-line no-await-in-loop
 			const endpoint = shouldStart && this.#mayStart(pending.size) ? await this.#acquire(signal) : undefined;
 			if (endpoint) {
@@ -173,7 +177,7 @@
 				return this.#conclude();
 			}
 
-			// What is done next depends on this outcome.
+			// The next step depends on this outcome.
 			// eslint-disable-next-line no-await-in-loop
 			const outcome = await raceUntil([...pending, ended], hedgeAt);
 			const final = outcome && this.#judge(outcome);
@@ -183,7 +187,7 @@
 		}
 	}
 
-	/** Whether another endpoint may be asked now. */
+	/** Whether another attempt may start now. */
 	#mayStart(openAttempts: number): boolean {
 		if (!this.#isRepeatable && (this.#mayHaveRun.size > 0 || openAttempts > 0)) {
 			return false;
@@ -193,11 +197,11 @@
 			return false;
 		}
 
-		// Without a bound a service that is slow as a whole is sent twice as much.
+		// Without a budget, a service that is slow as a whole would get twice its load.
 		return openAttempts === 0 || (this.#settings.hedges?.tryTake(this.#service) ?? true);
 	}
 
-	/** What to tell the caller when nothing is under way and nothing more may be tried. */
+	/** The outcome when no attempt is in progress and no further one is allowed. */
 	#conclude(): CallOutcome {
 		if (this.#failure) {
 			return {kind: 'answered', ...this.#failure};
@@ -208,7 +212,7 @@
 			: {...(this.#refusal ?? {reason: this.#lastReason, retryAfterMs: this.#settings.directory.planRetryAfterMs(this.#service)}), kind: 'not-run'};
 	}
 
-	/** Learns from an attempt; returns what to tell the caller if it is final. */
+	/** Records the outcome of an attempt; returns the outcome of the call if it is final. */
 	#judge(outcome: AttemptOutcome): CallOutcome | undefined {
 		if (outcome.kind === 'answered') {
 			if (outcome.answer.status < 500 || !this.#isRepeatable) {
@@ -271,7 +275,7 @@
 		const reason = `${id}: ${describeError(error)}`;
 		this.#lastReason = reason;
 		if (signal.aborted) {
-			// Cut by the caller, by the deadline or by a better answer; it says nothing of the endpoint.
+			// Cancelled by the caller, the deadline or another attempt's answer; not a failure of the endpoint.
 			return {kind: 'unknown', endpoint: id, reason};
 		}
 
@@ -297,7 +301,7 @@
 	}
 }
 
-/** Whether an error proves that nothing has run. */
+/** Whether an error proves that the endpoint has not run the request. */
 export function isProvenNotRun(error: unknown): boolean {
 	return error instanceof PlatformError && (error.code === 'unavailable' || error.code === 'refused');
 }
@@ -311,7 +315,7 @@
 	});
 }
 
-/** The first outcome; undefined when it is time to look again before one has come. */
+/** Resolves with the first outcome, or with undefined at `wakeAt` on the monotonic clock. */
 async function raceUntil(pending: ReadonlyArray<Promise<AttemptOutcome | undefined>>, wakeAt: number): Promise<AttemptOutcome | undefined> {
 	let timer: NodeJS.Timeout | undefined;
 	const wake = new Promise<undefined>(resolve => {
--- a/packages/direct/src/endpoint-directory.ts
+++ b/packages/direct/src/endpoint-directory.ts
@@ -1,5 +1,5 @@
 /**
- * The endpoints that are registered, with what this process has seen of each.
+ * Holds the registered endpoints with their state as this process knows it, and chooses endpoints for attempts.
  */
 import {
 	chooseDirect, defaultPolicy, findSlowPace, Lateness, listBetter, ReturnPlan, type Policy,
@@ -17,37 +17,37 @@
 import {ReportedPaces} from './reported-paces.js';
 
 /**
- * How long an endpoint whose registration has vanished is still asked if nothing else can be, in milliseconds.
- * Registrations vanish as well when the store was down and are back within about two seconds; endpoints that
- * leave serve on for two seconds at least.
+ * Time for which an endpoint whose registration has vanished is still used if no other is eligible, in milliseconds.
+ * Registrations also vanish after an outage of the store and return within about two seconds; endpoints that
+ * leave keep serving for at least two seconds.
  */
 const vanishedGraceMs = 1200;
 
-/** Endpoints that are remembered beyond that, the oldest are forgotten first: more than are hidden by an outage of the store while runs are open there. */
+/** Maximum number of retired endpoints whose state is kept; the oldest are evicted first. More than an outage of the store hides while they have open runs. */
 const maxRetired = 1000;
 
-/** Registered endpoints and their standing. */
+/** Registered endpoints and their state. */
 export class EndpointDirectory {
-	/** Lasting speeds, also of endpoints that are gone. */
+	/** Persistent speeds, also of endpoints that are gone. */
 	readonly classes = new PersistentSpeeds();
-	/** Which of them load weights. */
+	/** Weight loads in progress. */
 	readonly loads: LoadWindows;
 	readonly #states = new Map<string, EndpointStanding>();
-	/** Those whose registrations have vanished for longer than they are asked. */
+	/** State of endpoints that are no longer used because their registration has vanished. */
 	readonly #retired = new Map<string, EndpointStanding>();
 	readonly #random: Random;
 	readonly #policy: Policy;
 	readonly #eventLoopLag: Lateness;
 	readonly #changeListeners = new Set<(service: string) => void>();
-	/** By endpoint; called when it has started again. */
+	/** Listeners by endpoint, called when the endpoint has restarted. */
 	readonly #restartListeners = new Map<string, Set<() => void>>();
 	readonly #reportedPaces = new ReportedPaces(this.classes);
 	#slotLimits: SlotLimits | undefined;
 	#moveCount = 0;
-	/** By service. */
+	/** Retry-after plans by service. */
 	readonly #returnPlans = new Map<string, ReturnPlan>();
 
-	/** @param lateness - of this process; what it reads late says nothing of the endpoints */
+	/** @param eventLoopLag - lag of this process; events that it reads late don't show the pace of the endpoints */
 	constructor(random: Random, policy = defaultPolicy, eventLoopLag = new Lateness()) {
 		this.#random = random;
 		this.#policy = policy;
@@ -55,7 +55,7 @@
 		this.loads = new LoadWindows((id, model) => this.findVersion(id, model), policy.tellsLoads);
 	}
 
-	/** Takes over a registration. Of one that has started again nothing that was seen holds, and what a former start wrote late is ignored. */
+	/** Applies a registration. A new incarnation starts with fresh state; a late registration of a previous incarnation is ignored. */
 	put(endpoint: RegisteredEndpoint): void {
 		const known = this.#states.get(endpoint.id) ?? this.#retired.get(endpoint.id);
 		const relation = known ? compareIncarnations(endpoint, known.endpoint) : 'new';
@@ -82,7 +82,7 @@
 		this.#notify(state);
 	}
 
-	/** Calls back when an endpoint has started again under its id; returns how to end that. */
+	/** Calls the listener when an endpoint has restarted under its id; returns a function that unsubscribes it. */
 	onRestart(id: string, listener: () => void): () => void {
 		const listeners = this.#restartListeners.get(id) ?? new Set();
 		this.#restartListeners.set(id, listeners.add(listener));
@@ -94,7 +94,7 @@
 		};
 	}
 
-	/** Notes that a registration is gone; the endpoint is a last resort for a moment. */
+	/** Records that a registration has vanished; the endpoint stays a last resort for a short time. */
 	remove(id: string): void {
 		const state = this.#states.get(id);
 		if (state) {
@@ -102,12 +102,12 @@
 		}
 	}
 
-	/** The registration of an endpoint, as last known. */
+	/** Last known registration of an endpoint. */
 	get(id: string): RegisteredEndpoint | undefined {
 		return this.#states.get(id)?.endpoint;
 	}
 
-	/** Registered endpoints of a service, also those that are leaving. */
+	/** Registered endpoints of a service, or of all services, including draining ones. */
 	list(service?: string): RegisteredEndpoint[] {
 		this.#retireVanished();
 		return [...this.#states.values()]
@@ -115,12 +115,12 @@
 			.map(({endpoint}) => endpoint);
 	}
 
-	/** All endpoints with what this process has seen of them, for operators. */
+	/** State of all registered endpoints. */
 	listStandings(): readonly EndpointStanding[] {
 		return [...this.#states.values()].filter(({vanishedAt}) => vanishedAt === undefined);
 	}
 
-	/** Newest version of a model that an endpoint is known to hold; undefined if it does not hold it. */
+	/** Newest version of a model that an endpoint is known to hold; undefined if none is known. */
 	findVersion(id: string, model: string): number | undefined {
 		return this.#states.get(id)?.findVersion(model);
 	}
@@ -130,7 +130,7 @@
 		return this.#states.get(id)?.open ?? 0;
 	}
 
-	/** Time after which a caller that a service has no room for should come back, in milliseconds. */
+	/** Time after which a caller that was refused for lack of headroom should retry, in milliseconds. */
 	planRetryAfterMs(service: string): number {
 		const plan = this.#returnPlans.get(service) ?? new ReturnPlan();
 		this.#returnPlans.set(service, plan);
@@ -138,7 +138,7 @@
 		return plan.plan(serving.map(state => state.toHeadroom()));
 	}
 
-	/** Calls back with the service whenever an endpoint may have become free or fit; returns how to end that. */
+	/** Calls the listener with the service whenever an endpoint may have become free or eligible; returns a function that unsubscribes it. */
 	onChange(listener: (service: string) => void): () => void {
 		this.#changeListeners.add(listener);
 		return () => {
@@ -146,7 +146,7 @@
 		};
 	}
 
-	/** Chooses an endpoint for an attempt and counts it as open there; undefined if none can be asked now. */
+	/** Chooses an endpoint for an attempt and counts the attempt as open; undefined if none is eligible now. The caller must `release` it. */
 	acquire(requirement: EndpointRequirement): RegisteredEndpoint | undefined {
 		this.#retireVanished();
 		const eligible = this.#listEligible(requirement);
@@ -160,7 +160,7 @@
 		return chosen?.endpoint;
 	}
 
-	/** Shares slots with other hosts by rations from now on. */
+	/** Limits attempts to the slots allocated to this host from now on. */
 	shareSlots(source: RationSource): SlotLimits {
 		const slotLimits = new SlotLimits(source, id => this.#states.get(id));
 		this.#slotLimits = slotLimits;
@@ -173,7 +173,7 @@
 		return slotLimits;
 	}
 
-	/** Ends what `take` has begun. */
+	/** Ends an attempt that `acquire`, `acquireBetter` or `acquireFaster` has counted as open. */
 	release(id: string): void {
 		const state = this.#states.get(id) ?? this.#retired.get(id);
 		if (state) {
@@ -184,9 +184,9 @@
 	}
 
 	/**
-	 * Learns from the beginning of an answer.
+	 * Updates the state of an endpoint from the head of an answer.
 	 *
-	 * @param model - what was asked for; an endpoint that has room, refuses it and does not hold its newest version loads it
+	 * @param model - requested model; an endpoint that refuses it despite free slots, and lacks its newest version, counts as loading it
 	 */
 	recordHead(id: string, head: ServingHead, model?: string): void {
 		const state = this.#states.get(id);
@@ -195,27 +195,27 @@
 		this.loads.recordHead(id, head, model);
 	}
 
-	/** Notes that another server has the address, so this one is gone. */
+	/** Removes an endpoint whose address now belongs to another server. */
 	recordMisdirected(id: string): void {
 		this.#states.delete(id);
 	}
 
-	/** Notes that nothing or nothing sound came back. */
+	/** Records an attempt that got no valid answer. */
 	recordFailure(id: string): void {
 		this.#states.get(id)?.recordFailure();
 	}
 
-	/** Notes that nothing has come from an endpoint for long though a run was open there. */
+	/** Records that an open run at an endpoint got no event within its silence limit. */
 	recordSilence(id: string): void {
 		this.#states.get(id)?.recordSilence();
 	}
 
-	/** When an answer or an event last came from an endpoint, on the monotonic clock. */
+	/** When an answer or an event last arrived from an endpoint, on the monotonic clock; negative infinity if never. */
 	findLastReceivedAt(id: string): number {
 		return this.#states.get(id)?.lastReceivedAt ?? Number.NEGATIVE_INFINITY;
 	}
 
-	/** Learns how long a unit of work took, in milliseconds. */
+	/** Records the time of one unit of work, in milliseconds; ignored as a pace while this process lags. */
 	recordPace(id: string, unitMs: number): void {
 		const state = this.#states.get(id);
 		if (this.#eventLoopLag.isLate) {
@@ -226,8 +226,8 @@
 	}
 
 	/**
-	 * Learns how long a unit of work took on average over a whole run so far, in milliseconds. A run can't have been faster than its endpoint, however it
-	 * came, while single units that come together after a pause on the way seem to take no time.
+	 * Records the mean time per unit of work over a run so far, in milliseconds. The mean of a run is never faster than its endpoint, while single units that
+	 * arrive together after a network pause seem to take no time.
 	 */
 	recordRunPace(id: string, unitMs: number): void {
 		const state = this.#states.get(id);
@@ -237,39 +237,39 @@
 		}
 	}
 
-	/** The lasting speed of an endpoint as measured by any process, in milliseconds for a unit of work; undefined until known. */
+	/** Persistent speed of an endpoint as measured by any process, in milliseconds per unit of work; undefined until known. */
 	findClassMs(id: string): number | undefined {
 		const state = this.#states.get(id);
 		return this.#policy.plansTexts ? state?.speed.classMs : state?.bestMs;
 	}
 
-	/** Guesses lasting speeds by `classes`, once others have told some. */
+	/** Assumes the persistent speeds in `classes` for endpoints that this process has not measured. */
 	guessClasses(): void {
 		for (const state of this.#states.values()) {
 			this.classes.guess(state);
 		}
 	}
 
-	/** Best paces of late that this process has measured, in milliseconds; of `most` endpoints at most, by turns. */
+	/** Best recent paces that this process has measured, in milliseconds per unit, of at most `maxCount` endpoints in rotation. */
 	listOwnPaces(maxCount: number): Record<string, number> {
 		return this.#reportedPaces.list([...this.#states.values()], maxCount);
 	}
 
-	/** Learns what other processes have measured. */
+	/** Records paces that another process has measured, in milliseconds per unit by endpoint. */
 	learnPaces(paces: Readonly<Record<string, number>>): void {
 		this.#reportedPaces.record(paces, id => this.#states.get(id));
 	}
 
-	/** The best pace of late of an endpoint as measured by any process, in milliseconds. */
+	/** Best recent pace of an endpoint as measured by any process, in milliseconds per unit. */
 	findBestPaceMs(id: string): number | undefined {
 		return this.#states.get(id)?.bestMs;
 	}
 
 	/**
-	 * Chooses an endpoint at which a run of another had better go on, and counts the run as open there; undefined if there is none. It is taken before the run
-	 * leaves, so that the run doesn't end up at another slow endpoint that is merely nearer.
+	 * Chooses a better endpoint for a run, and counts the run as open there; undefined if there is none. The endpoint is acquired before the run leaves its
+	 * current one, so that the run doesn't end up at another slow endpoint that is merely nearer.
 	 *
-	 * @param isLong - whether the run has made many events already, and since it was last moved
+	 * @param isLong - whether the run has made many events since it began or was last moved
 	 */
 	acquireBetter(id: string, requirement: EndpointRequirement, isLong: boolean): RegisteredEndpoint | undefined {
 		const current = this.#states.get(id);
@@ -289,9 +289,9 @@
 	}
 
 	/**
-	 * Chooses an endpoint at which a text had better go on that its own would finish too late, and counts it as open there; undefined if it stays.
+	 * Chooses a faster endpoint for a generation that its current one would finish too late, and counts it as open there; undefined if it stays.
 	 *
-	 * @param madeHere - events that it has made at its present endpoint
+	 * @param madeHere - events that the generation has made at its current endpoint
 	 */
 	acquireFaster(id: string, requirement: EndpointRequirement & {units: number}, madeHere: number): RegisteredEndpoint | undefined {
 		const current = this.#states.get(id);
@@ -316,12 +316,12 @@
 		return state?.endpoint;
 	}
 
-	/** Texts that have left an endpoint for a faster one since the start. */
+	/** Number of generations moved to a faster endpoint since this process started. */
 	get counts(): {movedTexts: number} {
 		return {movedTexts: this.#moveCount};
 	}
 
-	/** Learns which version of a model an endpoint serves. */
+	/** Records which version of a model an endpoint serves. */
 	recordVersion(id: string, model: string, version: number): void {
 		const state = this.#states.get(id);
 		const isNew = state?.recordVersion(model, version) ?? false;
@@ -330,12 +330,12 @@
 		}
 	}
 
-	/** Leaves an endpoint alone for a time, such as while it loads weights. */
+	/** Prevents attempts at an endpoint for a time in milliseconds, for example while it loads weights. */
 	pause(id: string, pauseMs: number): void {
 		this.#states.get(id)?.pause(pauseMs);
 	}
 
-	/** Endpoints that can be asked now. */
+	/** Endpoints that meet the requirements and may be used now. */
 	#listEligible(requirement: EndpointRequirement): EndpointStanding[] {
 		const slowPaceMs = requirement.avoidsSlow ? this.#findSlowPace(requirement.service) : undefined;
 		const model = requirement.oldestVersion?.model ?? requirement.exactVersion?.model;
@@ -385,7 +385,7 @@
 		}
 	}
 
-	/** Keeps what is known of an endpoint that is not asked any more: its registration may come back, and its open attempts end one day. */
+	/** Keeps the state of an endpoint that is no longer used: its registration may return, and its open attempts still have to end. */
 	#retire(id: string, state: EndpointStanding): void {
 		this.#retired.set(id, state);
 		dropOldest(this.#retired, maxRetired);
--- a/packages/direct/src/endpoint-moves.ts
+++ b/packages/direct/src/endpoint-moves.ts
@@ -1,25 +1,25 @@
 /**
- * Where a text goes on that its present endpoint would finish too late.
+ * Chooses a faster endpoint for a generation that its current endpoint would finish too late.
  */
 import {
 	chooseDirect, gainsBy, isAtRisk, type MovableText,
 } from '@wasabiusher/decisions';
 import type {EndpointStanding} from './endpoint-state.js';
 
-/** What moves are decided by. */
+/** Input of the decision to move a generation. */
 export type MoveRequest = {
 	text: MovableText;
 	current: EndpointStanding;
-	/** Names what it shares with other texts. */
+	/** Key of the prompt that it shares with other generations. */
 	warmKey: string | undefined;
 	dedicated: ReadonlySet<string> | undefined;
 	/** A number in [0, 1). */
 	chance: number;
-	/** Endpoints that could take it now; asked for only if the text is at risk, since each event of each text comes here. */
+	/** Eligible endpoints. Called only for a generation at risk, since the decision is made for each event of each generation. */
 	listEligible(): EndpointStanding[];
 };
 
-/** The endpoint at which a text had better go on; undefined if it stays. */
+/** Returns the endpoint at which the generation should continue; undefined if it stays. */
 export function chooseMove({text, current, listEligible, warmKey, dedicated, chance}: MoveRequest): EndpointStanding | undefined {
 	const {speed} = current;
 	if (!isAtRisk(text, speed)) {
--- a/packages/direct/src/endpoint-queue.ts
+++ b/packages/direct/src/endpoint-queue.ts
@@ -1,5 +1,5 @@
 /**
- * The line of this process for slots of endpoints, as its directory knows them.
+ * The wait queue of this host for endpoint slots.
  */
 import {Pace} from '@wasabiusher/decisions';
 import {HostLine, ReturnTurns} from '@wasabiusher/slots';
@@ -7,17 +7,17 @@
 import type {EndpointDirectory} from './endpoint-directory.js';
 import type {EndpointRequirement} from './endpoint-requirement.js';
 
-/** What a waiter needs; one endpoint may be asked only if no other fits. */
+/** Requirements of a waiter; the avoided endpoint is used only if no other is eligible. */
 export type QueueRequirement = EndpointRequirement & {avoided?: string};
 
 /**
- * Calls, texts and scores wait here. A call that will have a slot sooner than it is done waits for an endpoint that isn't slow; one that would wait
- * longer takes any, so that a large customer's calls fill the slow ones.
+ * Queues calls, generations and scores. A call whose expected wait is shorter than its service time waits for an endpoint that isn't slow; one that would
+ * wait longer takes any endpoint, so that the calls of a large customer fill the slow endpoints.
  */
 export class EndpointLine extends HostLine<QueueRequirement, RegisteredEndpoint> {
-	/** Calls that were refused here. */
+	/** Tracks refused calls, so that their retries are recognized. */
 	readonly returns = new ReturnTurns();
-	/** Time of a call, by service. */
+	/** Service time of a call, by service. */
 	readonly #workPaces = new Map<string, Pace>();
 
 	constructor(directory: EndpointDirectory) {
@@ -31,20 +31,20 @@
 		});
 	}
 
-	/** Learns how long a call to a service took, in milliseconds. */
+	/** Records the service time of a call to a service, in milliseconds. */
 	recordWork(service: string, workMs: number): void {
 		const pace = this.#workPaces.get(service) ?? new Pace();
 		this.#workPaces.set(service, pace);
 		pace.record(workMs);
 	}
 
-	/** Usual time of a call to a service, in milliseconds; 0 if nobody knows. */
+	/** Typical service time of a call to a service, in milliseconds; 0 if unknown. */
 	findWorkMs(service: string): number {
 		return this.#workPaces.get(service)?.unitMs ?? 0;
 	}
 }
 
-/** Sets of homes by a number, since each is one object while it holds. */
+/** Numbers for sets of dedicated endpoints. An unchanged set keeps its identity, so the object itself is the key. */
 const dedicatedNumbers = new WeakMap<ReadonlySet<string>, number>();
 let lastNumber = 0;
 
--- a/packages/direct/src/endpoint-requirement.ts
+++ b/packages/direct/src/endpoint-requirement.ts
@@ -1,47 +1,47 @@
 /**
- * What an attempt needs of an endpoint, and whether one fits.
+ * The requirements of an attempt on its endpoint, and the check whether an endpoint meets them.
  */
 import type {EndpointStanding} from './endpoint-state.js';
 import type {SlotWaiter} from './slot-limits.js';
 
-/** What an attempt needs of an endpoint. */
+/** Requirements of an attempt on its endpoint. */
 export type EndpointRequirement = {
 	service: string;
-	/** Endpoints that are left out. */
+	/** Endpoints that must not be chosen. */
 	excluded?: ReadonlySet<string>;
-	/** Oldest version of a model that may serve it. */
+	/** Oldest version of a model that may serve the attempt. */
 	oldestVersion?: {model: string; version: number};
-	/** Exactly this version of a model. */
+	/** The only version of a model that may serve the attempt. */
 	exactVersion?: {model: string; version: number};
-	/** Names what requests share, to find an endpoint that has read it. */
+	/** Key of a prompt that requests share; endpoints that have processed it are preferred. */
 	warmKey?: string;
-	/** Most requests of this process at one endpoint, as a multiple of its slots; undefined for no limit. */
+	/** Maximum number of open requests of this process at one endpoint, as a multiple of its slots; undefined for no limit. */
 	openLimit?: number;
-	/** Whether endpoints whose slots are all taken are left out, as far as their load is known. */
+	/** Whether to skip endpoints whose slots are all taken by their known load. */
 	avoidsFull?: boolean;
-	/** Whether endpoints are left out that have probably no room now, by their load and its age. */
+	/** Whether to skip endpoints that probably have no headroom now, by their load and its age. */
 	needsHeadroom?: boolean;
-	/** Whether endpoints are left out that are much slower than is typical of their service. */
+	/** Whether to skip endpoints that are much slower than is typical for their service. */
 	avoidsSlow?: boolean;
 	/**
-	 * Endpoints that nobody else fills with work of this kind. Others are asked only as far as they are known to have room, and by
-	 * one attempt at a time to find that out; undefined if all are alike.
+	 * Endpoints dedicated to the requester: no other share fills them with work of this kind. Other endpoints are used only while they are known to have
+	 * headroom; if their load is unknown, one attempt at a time probes them. Undefined if all endpoints are equal.
 	 */
 	dedicated?: ReadonlySet<string>;
-	/** Units of work that it is expected to take, such as events of a text; undefined if nobody knows. */
+	/** Expected units of work, such as the events of a generation; undefined if unknown. */
 	units?: number;
-	/** Time until it should be done, in milliseconds; undefined if nobody waits for it. */
+	/** Time until the work is due, in milliseconds; undefined if nothing waits for it. */
 	dueInMs?: number;
-	/** Who looks for a slot, where slots are shared among hosts; what can't wait has none and is sent at once. */
+	/** Identifies the waiter where hosts share slots; work that can't wait has none and is sent at once. */
 	waiter?: SlotWaiter;
 };
 
-/** Whether an endpoint that others fill has room as well: half of what they leave, since several see the same free slots. */
+/** Whether an endpoint that other processes fill too has headroom. Only half of its free slots count, since several processes see the same ones. */
 export function hasSharedHeadroom({endpoint, open, others}: EndpointStanding): boolean {
 	return open < Math.max(1, Math.floor((endpoint.slots - others) / 2)) && open + others < endpoint.slots;
 }
 
-/** Whether an endpoint fits a need, as far as this process knows; pauses and loads apart. */
+/** Whether an endpoint meets the requirements, as far as this process knows. Pauses and weight loads are checked by the caller of this function. */
 export function isEligible(state: EndpointStanding, {service, excluded, oldestVersion, exactVersion, openLimit, avoidsFull, needsHeadroom}: EndpointRequirement): boolean {
 	const {endpoint, open, others} = state;
 	return endpoint.service === service
--- a/packages/direct/src/endpoint-state.ts
+++ b/packages/direct/src/endpoint-state.ts
@@ -1,5 +1,5 @@
 /**
- * What one process has seen of an endpoint: its load, pace, versions, refusals and failures.
+ * The state of an endpoint as one process knows it: load, pace, weight versions, refusals and failures.
  */
 import {
 	AttemptPause, BestPace, defaultPolicy, isRoomExpected, SpeedModel, type DirectCandidate, type EndpointRoom, type EndpointSpeed, type Policy,
@@ -7,144 +7,144 @@
 import type {EndpointLoad, ServingHead} from '@wasabiusher/backends';
 import {dropOldest, type RegisteredEndpoint} from '@wasabiusher/shared';
 
-/** First and longest time for which an endpoint that could not be reached is left alone, in milliseconds. */
+/** First and longest pause after a failed attempt at an endpoint, in milliseconds; the pause doubles with each further failure. */
 const firstPauseMs = 200;
 const maxPauseMs = 2000;
 
-/** Pauses after a refusal, in milliseconds: some requests' service time, and a sixth of the time that loading takes. */
+/** Pauses after a refusal, in milliseconds: the first is the service time of a few requests, the longest a sixth of a weight load. */
 const refusalPause = {firstMs: 50, longestMs: 150};
 
-/** Pauses after a silence, in milliseconds; an endpoint that is dark mostly stays so for seconds. */
+/** Pauses after a silence, in milliseconds; an endpoint that stops responding usually stays unresponsive for seconds. */
 const silencePause = {firstMs: 200, longestMs: 2000};
 
-/** Time after which what an endpoint told of its load counts for nothing, in milliseconds. */
+/** Age after which a reported load is ignored, in milliseconds. */
 const maxLoadAgeMs = 1000;
 
-/** Time for which a connection is open after its last request, in milliseconds, as endpoints commonly keep them. */
+/** Time for which endpoints commonly keep an idle connection open, in milliseconds. */
 const keepAliveMs = 3000;
 
-/** Most shared parts remembered for one endpoint; older ones are forgotten first. */
+/** Maximum number of shared prompt keys remembered per endpoint; the oldest are evicted first. */
 const maxWarmKeys = 256;
 
-/** Status of an answer from another server at the same address. */
+/** HTTP status of an answer from a different server at the same address. */
 const misdirectedStatus = 421;
 
-/** The standing of one endpoint. */
+/** The state of one endpoint. Times are on the monotonic clock. */
 export class EndpointStanding {
 	endpoint: RegisteredEndpoint;
-	/** When its registration vanished, on the monotonic clock. */
+	/** When its registration vanished; undefined while it is registered. */
 	vanishedAt: number | undefined;
 	readonly #model = new SpeedModel();
-	/** As measured here, and by any process. */
+	/** Best pace as measured by this process, and by any process. */
 	readonly #ownBest = new BestPace();
 	readonly #best = new BestPace();
 	readonly #refusals = new AttemptPause(refusalPause);
 	readonly #silences = new AttemptPause(silencePause);
-	/** When anything last came from it. */
+	/** When an answer or an event last arrived from it. */
 	#lastReceivedAt = Number.NEGATIVE_INFINITY;
-	/** Newest version seen of each model; a running endpoint never goes back. */
+	/** Newest known version of each model; a running endpoint never returns to an older one. */
 	readonly #versions = new Map<string, number>();
 	readonly #warmKeys = new Set<string>();
 	#open = 0;
-	/** Attempts at an earlier start under this id that have not been ended yet. */
+	/** Attempts that are still open at a previous incarnation of this id. */
 	#previousOpen: number;
 	#load: EndpointLoad | undefined;
 	#loadAt = 0;
-	/** When the last attempt began, and when an answer last did. */
+	/** When the last attempt began, and when the last answer began. */
 	#lastBegunAt = Number.NEGATIVE_INFINITY;
 	#lastHeadAt = Number.NEGATIVE_INFINITY;
 	#openAtLoad = 0;
 	#pausedUntil = 0;
 	#failures = 0;
-	/** When a request of this process last ended there. */
+	/** When a request of this process last ended at this endpoint. */
 	#lastEndedAt = Number.NEGATIVE_INFINITY;
 	readonly #policy: Policy;
 
-	/** @param formerOpen - attempts at an earlier start whose ends are still to come */
-	constructor(endpoint: RegisteredEndpoint, policy = defaultPolicy, formerOpen = 0) {
+	/** @param previousOpen - attempts that are still open at a previous incarnation */
+	constructor(endpoint: RegisteredEndpoint, policy = defaultPolicy, previousOpen = 0) {
 		this.endpoint = endpoint;
 		this.#policy = policy;
-		this.#previousOpen = formerOpen;
+		this.#previousOpen = previousOpen;
 	}
 
-	/** Takes over a registration of the same start. One that tells its start never comes back from draining, whatever is written late. */
+	/** Applies a registration of the same incarnation. An endpoint with a known start time stays draining, even if an older registration arrives late. */
 	register(endpoint: RegisteredEndpoint): void {
 		const isDraining = endpoint.isDraining || (endpoint.bornMs !== undefined && this.endpoint.bornMs === endpoint.bornMs && this.endpoint.isDraining);
 		this.endpoint = {...endpoint, isDraining};
 		this.vanishedAt = undefined;
 	}
 
-	/** Attempts whose ends are still to come, at this start and at earlier ones. */
+	/** Attempts that are still open, at this incarnation and at previous ones. */
 	countOpenAttempts(): number {
 		return this.#open + this.#previousOpen;
 	}
 
-	/** Requests of this process that are open there. */
+	/** Requests of this process that are open at this endpoint. */
 	get open(): number {
 		return this.#open;
 	}
 
-	/** When an answer or an event last came from it, on the monotonic clock. */
+	/** When an answer or an event last arrived from it, on the monotonic clock. */
 	get lastReceivedAt(): number {
 		return this.#lastReceivedAt;
 	}
 
-	/** Whether it told its load lately. */
+	/** Whether a recent load report is known. */
 	get isLoadKnown(): boolean {
 		return this.#load !== undefined && performance.now() - this.#loadAt < maxLoadAgeMs;
 	}
 
-	/** Time since it last told its load, in milliseconds. */
+	/** Age of the last load report, in milliseconds; infinite if there is none. */
 	get loadAgeMs(): number {
 		return this.#load === undefined ? Number.POSITIVE_INFINITY : performance.now() - this.#loadAt;
 	}
 
-	/** Whether an attempt is open there that has not been answered yet. */
+	/** Whether the latest attempt is open and has not been answered yet. */
 	get awaitsHead(): boolean {
 		return this.#open > 0 && this.#lastBegunAt > this.#lastHeadAt;
 	}
 
-	/** Requests of other processes there, as last told. */
+	/** Requests of other processes at this endpoint, by its last load report; 0 if no recent report is known. */
 	get others(): number {
 		const load = this.isLoadKnown ? this.#load : undefined;
 		return load ? Math.max(0, load.running + load.waiting - this.#openAtLoad) : 0;
 	}
 
-	/** Time for a unit of work without what passes within tenths of a second, in milliseconds; undefined until measured. */
+	/** Persistent and episodic speed without transient slowness, in milliseconds per unit of work; undefined until measured. */
 	get persistentMs(): number | undefined {
 		const {classMs, spell} = this.#model.speed;
 		return classMs === undefined ? this.#model.recentMs : classMs * spell;
 	}
 
-	/** Whether it is lastingly slower than a pace, as far as both are known. */
+	/** Whether it is persistently slower than a pace in milliseconds per unit; false if either is unknown. */
 	isSlower(paceMs: number | undefined): boolean {
 		return paceMs !== undefined && this.#policy.weighsPaces && (this.persistentMs ?? 0) > paceMs;
 	}
 
-	/** Whether it has probably room for one more request now. */
+	/** Whether it probably has headroom for one more request now. */
 	get hasExpectedHeadroom(): boolean {
 		return isRoomExpected({
 			slots: this.endpoint.slots, open: this.#open, others: this.others, ageMs: performance.now() - this.#loadAt, workMs: this.paceMs,
 		});
 	}
 
-	/** Whether an attempt may be made now, as far as pauses go. */
+	/** Whether no pause prevents an attempt now. */
 	get isAvailable(): boolean {
 		const {pausesAfterRefusals, pausesAfterSilences} = this.#policy;
 		return performance.now() >= this.#pausedUntil && (this.#refusals.isOpen || !pausesAfterRefusals) && (this.#silences.isOpen || !pausesAfterSilences);
 	}
 
-	/** Newest version known of a model. */
+	/** Newest known version of a model. */
 	findVersion(model: string): number | undefined {
 		return this.#versions.get(model);
 	}
 
-	/** Newest version known of each model. */
+	/** Newest known version of each model. */
 	get versions(): ReadonlyMap<string, number> {
 		return this.#versions;
 	}
 
-	/** Learns of a version; returns whether it is newer than what was known. */
+	/** Records a version of a model; returns whether it is newer than the known one. */
 	recordVersion(model: string, version: number): boolean {
 		if (version <= (this.#versions.get(model) ?? 0)) {
 			return false;
@@ -154,7 +154,7 @@
 		return true;
 	}
 
-	/** Notes that an attempt begins there. */
+	/** Records that an attempt begins. */
 	begin(warmKey: string | undefined): void {
 		this.#open += 1;
 		this.#lastBegunAt = performance.now();
@@ -169,10 +169,10 @@
 		dropOldest(this.#warmKeys, maxWarmKeys);
 	}
 
-	/** Notes that an attempt has ended. */
+	/** Records that an attempt has ended. */
 	end(): void {
 		if (this.#previousOpen > 0) {
-			// Those at the earlier start are ended at once, so they come first.
+			// Attempts at a previous incarnation are ended as soon as it restarts, so their ends arrive first.
 			this.#previousOpen -= 1;
 			return;
 		}
@@ -183,7 +183,7 @@
 		this.#lastEndedAt = performance.now();
 	}
 
-	/** Learns from the beginning of an answer. */
+	/** Updates load and pauses from the head of an answer. */
 	recordHead({load, isNotRun, status}: ServingHead): void {
 		this.#failures = 0;
 		this.#lastHeadAt = performance.now();
@@ -203,71 +203,71 @@
 		}
 	}
 
-	/** Notes that nothing or nothing sound came back. */
+	/** Records an attempt that got no valid answer. */
 	recordFailure(): void {
 		this.#pausedUntil = performance.now() + Math.min(maxPauseMs, firstPauseMs * (2 ** this.#failures));
 		this.#failures += 1;
 	}
 
-	/** Notes that nothing has come for long though a run was open. */
+	/** Records that an open run got no event within its silence limit. */
 	recordSilence(): void {
 		this.#silences.record();
 	}
 
-	/** Leaves it alone for a time, such as while it loads weights. */
+	/** Prevents attempts for a time in milliseconds, for example while it loads weights. */
 	pause(pauseMs: number): void {
 		this.#pausedUntil = Math.max(this.#pausedUntil, performance.now() + pauseMs);
 	}
 
-	/** Notes that something has come from it. */
+	/** Records that data arrived from it. */
 	recordReceived(): void {
 		this.#lastReceivedAt = performance.now();
 	}
 
-	/** Learns how long a unit of work took, in milliseconds. */
+	/** Records the time of one unit of work, in milliseconds. */
 	recordPace(unitMs: number): void {
 		this.recordReceived();
 		this.#model.recordUnit(unitMs);
 	}
 
-	/** Learns how long a unit of work took on average over a whole run so far, in milliseconds. */
+	/** Records the mean time per unit of work over a run so far, in milliseconds. */
 	recordRunPace(unitMs: number): void {
 		this.#model.recordRun(unitMs);
 		this.#ownBest.record(unitMs);
 		this.#best.record(unitMs);
 	}
 
-	/** Takes over a lasting class that was measured elsewhere or earlier, in milliseconds for a unit. */
+	/** Assumes a persistent speed that was measured by another process or earlier, in milliseconds per unit. */
 	guessPersistentSpeed(unitMs: number): void {
 		this.#model.guessClass(unitMs);
 	}
 
-	/** How fast it is. */
+	/** Its speed, split into persistent, episodic and transient parts. */
 	get speed(): EndpointSpeed {
 		return this.#model.speed;
 	}
 
-	/** Its lasting class, if this process has measured it well enough to tell others, in milliseconds for a unit. */
+	/** Its persistent speed, if this process has measured it well enough to report it, in milliseconds per unit. */
 	get ownPersistentMs(): number | undefined {
 		return this.#model.ownClassMs;
 	}
 
-	/** Learns what another process has measured as its best pace, in milliseconds. */
+	/** Records the best pace that another process has reported, in milliseconds per unit. */
 	recordReportedPace(unitMs: number): void {
 		this.#best.record(unitMs);
 	}
 
-	/** Its best pace of late as measured by this process, in milliseconds. */
+	/** Its best recent pace as measured by this process, in milliseconds per unit. */
 	get ownBestMs(): number | undefined {
 		return this.#ownBest.unitMs;
 	}
 
-	/** Its best pace of late as measured by any process, in milliseconds. */
+	/** Its best recent pace as measured by any process, in milliseconds per unit. */
 	get bestMs(): number | undefined {
 		return this.#best.unitMs;
 	}
 
-	/** What is known of its room; what was told of its load lags, so that what is open here counts at least. */
+	/** Its known occupancy. Load reports lag, so requests that are open here always count. */
 	toHeadroom(): EndpointRoom {
 		const {slots} = this.endpoint;
 		const occupied = this.#open + this.others;
@@ -276,12 +276,12 @@
 		};
 	}
 
-	/** Time for a unit of work that counts in a choice, in milliseconds. */
+	/** Pace used to choose between endpoints, in milliseconds per unit of work. */
 	get paceMs(): number | undefined {
 		return this.#policy.plansTexts ? this.#model.expectedMs : this.#model.recentMs;
 	}
 
-	/** What the choice between endpoints needs to know. */
+	/** Describes it for the choice between endpoints. */
 	toCandidate(warmKey: string | undefined, dedicated?: ReadonlySet<string>): DirectCandidate {
 		const now = performance.now();
 		const {id, slots} = this.endpoint;
--- a/packages/direct/src/index.ts
+++ b/packages/direct/src/index.ts
@@ -1,4 +1,4 @@
-/** Calls, runs and orders that go to endpoints directly, without an agent beside them. */
+/** Sends calls, runs and weight orders straight to endpoints, without an agent on the endpoint's host. */
 export * from './call.js';
 export type {CrashWatch} from './poison-requests.js';
 export * from './persistent-speeds.js';
--- a/packages/direct/src/load-announcements.ts
+++ b/packages/direct/src/load-announcements.ts
@@ -1,9 +1,8 @@
 /**
- * Tells all hosts which endpoints load weights, by rows of a table that they follow already.
+ * Announces weight loads of endpoints to all hosts, by rows of a table that the hosts already follow.
  *
- * Load pattern: one host gives all orders and so knows alone which endpoints load; some dozen are ordered within a second of each
- * publication. Orders that are given together make one row, which holds nothing but them, so that a row stays small however many endpoints
- * there are. A row that is lost or late costs refusals and nothing else.
+ * Load pattern: one host sends all orders, so it alone knows which endpoints load; some dozen are ordered within a second of each publication. Orders that
+ * are sent together share one row that holds nothing else, so that a row stays small for any number of endpoints. A lost or late row causes refusals only.
  */
 import {Buffer} from 'node:buffer';
 import type {RowChange, RowStore} from '@wasabiusher/backends';
@@ -11,46 +10,46 @@
 import {z} from 'zod';
 import type {WeightLoad} from './load-windows.js';
 
-/** Time over which loads are gathered into one row, in milliseconds: those that are ordered at the same look. */
+/** Time over which loads are collected into one row, in milliseconds: long enough for the orders of one tick. */
 const gatherMs = 5;
 
-/** Least time between two rows, in milliseconds: a twentieth of a load. */
+/** Minimum interval between two rows, in milliseconds: a twentieth of a load. */
 const minRowIntervalMs = 50;
 
-/** Rows that are written in turn. Who follows sees only the newest value of each, so that a row must not be written anew before all have read it. */
+/** Number of rows that are written in rotation. Followers see only the newest value of a row, so a row must not be overwritten before all have read it. */
 const rowCount = 16;
 
-/** Most loads in one row; a row of 6 KB is read as fast as an empty one. */
+/** Maximum number of loads in one row; a row of 6 KB is read as fast as an empty one. */
 const maxLoads = 100;
 
 const rowSchema = z.object({
-	/** Differs for each writer; a row of another one may come late. */
+	/** Identifies the writer; rows of other writers may arrive late. */
 	writer: z.string(),
-	/** Endpoint, model, version, and the time for which the load is expected to go on from now, in milliseconds; 0 if it was not taken. */
+	/** Endpoint, model, version, and the expected remaining time of the load in milliseconds; 0 if the order was not taken. */
 	loads: z.array(z.tuple([z.string(), z.string(), z.int(), z.number()])).max(maxLoads),
 });
 
 export type LoadAnnouncementsSettings = {
 	rows: RowStore;
-	/** Where the rows lie: a table that all hosts follow, and a part of it that holds nothing else and is not read at the start. */
+	/** Location of the rows: a table that all hosts follow, and a part of it that holds nothing else and is not read at startup. */
 	table: string;
 	part: string;
 	/** Name of this process. */
 	writer: string;
 	log: Log;
-	/** Called with what another process has told. */
+	/** Called with each load that another process has announced, and its expected remaining time in milliseconds. */
 	onLoad(load: WeightLoad, forMs: number): void;
 };
 
-/** Tells and hears of loads. */
+/** Sends and receives load announcements. */
 export class LoadNews {
-	/** Rows written, rows that were not, loads heard of from others, and rows that can't be read. */
+	/** Rows written, rows that failed to be written, loads received from other hosts, and unreadable rows. */
 	readonly counts = {
 		loadRows: 0, loadRowsFailed: 0, loadsHeard: 0, loadRowsUnreadable: 0,
 	};
 
 	readonly #settings: LoadAnnouncementsSettings;
-	/** What is to be told, by endpoint and model. */
+	/** Announcements to write, by endpoint and model. */
 	readonly #pending = new Map<string, {load: WeightLoad; forMs: number}>();
 	#timer: NodeJS.Timeout | undefined;
 	#lastWriteAt = Number.NEGATIVE_INFINITY;
@@ -60,13 +59,13 @@
 		this.#settings = settings;
 	}
 
-	/** Tells all hosts of a load soon; returns at once. */
+	/** Schedules the announcement of a load with its expected duration in milliseconds; returns at once. */
 	tell(load: WeightLoad, forMs: number): void {
 		this.#pending.set(`${load.endpoint} ${load.model}`, {load, forMs});
 		this.#scheduleWrite();
 	}
 
-	/** Takes over a row; one that can't be read is counted. */
+	/** Applies a row of another process; an unreadable row is counted. */
 	apply({value}: RowChange): void {
 		if (value === undefined) {
 			return;
@@ -89,7 +88,7 @@
 		}
 	}
 
-	/** Tells nothing more. */
+	/** Discards pending announcements. */
 	stop(): void {
 		clearTimeout(this.#timer);
 		this.#timer = undefined;
--- a/packages/direct/src/load-schedule.ts
+++ b/packages/direct/src/load-schedule.ts
@@ -1,42 +1,42 @@
 /**
- * The published versions of each model, how often they come, and how long endpoints take to load them.
+ * Tracks the published versions of each model, the interval between publications and the time that endpoints take to load them.
  */
 import {defaultPolicy, shouldLoad, type Policy} from '@wasabiusher/decisions';
 
-/** Time that a load is taken for while none was seen, in milliseconds. */
+/** Assumed load time until one was measured, in milliseconds. */
 const initialLoadMs = 1000;
 
-/** Weight of a new load, and of a new interval between publications, in their means. */
+/** Weight of a new load time, and of a new interval between publications, in their exponential means. */
 const smoothingFactor = 0.3;
 
-/** Longest interval between publications that counts, in milliseconds: a trainer that stood still says nothing of the next version. */
+/** Longest interval between publications that is averaged, in milliseconds: the pause of a stopped trainer doesn't predict the next publication. */
 const maxIntervalMs = 30_000;
 
 type Publication = {version: number; receivedAt: number; intervalMs: number | undefined};
 
-/** Endpoints that are to load a model. */
+/** Endpoints that have to load a model. */
 export type LoadGroup = {
 	model: string;
-	/** Endpoints that still must. */
+	/** Number of endpoints that still have to load it. */
 	endpoints: number;
-	/** Endpoints that may at once. */
+	/** Number of endpoints that may load it at once. */
 	width: number;
 };
 
-/** Tells when a model's endpoints should load. */
+/** Decides when a model's endpoints should load. */
 export class LoadSchedule {
 	readonly #policy: Policy;
 	readonly #findWaiting: (model: string) => number | undefined;
 	readonly #published = new Map<string, Publication>();
 	#loadMs = initialLoadMs;
 
-	/** @param findWaiting - texts of a model that have not begun, at all hosts; undefined if nobody tells */
+	/** @param findWaiting - number of generations of a model that have not begun, over all hosts; undefined if unknown */
 	constructor(policy = defaultPolicy, findWaiting: (model: string) => number | undefined = () => undefined) {
 		this.#policy = policy;
 		this.#findWaiting = findWaiting;
 	}
 
-	/** The newest version of each model. */
+	/** The newest published version of each model. */
 	get versions(): ReadonlyMap<string, number> {
 		return new Map([...this.#published].map(([model, {version}]) => [model, version]));
 	}
@@ -46,12 +46,12 @@
 		return this.#published.get(model)?.version;
 	}
 
-	/** Mean time that a load took of late, in milliseconds. */
+	/** Mean time of recent loads, in milliseconds. */
 	get loadMs(): number {
 		return this.#loadMs;
 	}
 
-	/** Learns of a published version; an older one than known is ignored. */
+	/** Records a published version; one that is older than the known one is ignored. */
 	publish(model: string, version: number): void {
 		const known = this.#published.get(model);
 		if (version <= (known?.version ?? 0)) {
@@ -62,7 +62,7 @@
 		this.#published.set(model, {version, receivedAt: learntAt, intervalMs: known && findInterval(known, learntAt)});
 	}
 
-	/** Learns how long a load took, in milliseconds. */
+	/** Records the time of a load, in milliseconds. */
 	recordLoad(loadMs: number): void {
 		this.#loadMs += smoothingFactor * (loadMs - this.#loadMs);
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-/** Mean time between publications; one that came much later than usual is left out. */
+/** Mean interval between publications in milliseconds, without intervals beyond the maximum. */
 function findInterval({receivedAt: learntAt, intervalMs}: Publication, now: number): number | undefined {
 	const elapsedMs = now - learntAt;
 	if (elapsedMs > maxIntervalMs) {
--- a/packages/direct/src/load-windows.ts
+++ b/packages/direct/src/load-windows.ts
@@ -1,9 +1,8 @@
 /**
- * Which endpoints load weights, as far as this process knows.
+ * Tracks which endpoints load weights, as far as this process knows.
  *
- * Load pattern: half of a model's endpoints load new weights within a second of a step's begin, and each refuses all runs of that model for
- * as long. A host that does not know it sends there what another endpoint could have begun at once. What is known may be wrong
- * or late, so each window ends by itself.
+ * Load pattern: half of a model's endpoints load new weights within a second of the start of a step, and each refuses all runs of that model meanwhile. A host
+ * that does not know of a load sends runs there that another endpoint could have begun at once. The information may be wrong or late, so each window expires.
  */
 
 import type {ServingHead} from '@wasabiusher/backends';
@@ -11,43 +10,43 @@
 /** An endpoint's change to a version of a model. */
 export type WeightLoad = {endpoint: string; model: string; version: number};
 
-/** Longest time for which an endpoint is left out by one piece of news, in milliseconds: three usual loads. */
+/** Maximum time for which one announcement excludes an endpoint, in milliseconds: three typical loads. */
 export const maxLoadMs = 3000;
 
-/** Time for which an endpoint that was met loading is left out, in milliseconds: what is left of a usual load on average. */
+/** Time for which a refusal by a loading endpoint excludes it, in milliseconds: the mean remaining time of a typical load. */
 const refusedLoadMs = 500;
 
-/** Status of an endpoint that takes nothing at present. */
+/** HTTP status of an endpoint that accepts no requests at present. */
 const refusedStatus = 503;
 
 type LoadWindow = WeightLoad & {endsAt: number};
 
-/** The loads that go on. */
+/** Weight loads in progress. */
 export class LoadWindows {
-	/** Loads that were learnt of by a refusal. */
+	/** Number of loads that were detected by a refusal. */
 	readonly counts = {loadsMet: 0};
-	/** By endpoint and model. */
+	/** Windows by endpoint and model. */
 	readonly #windows = new Map<string, LoadWindow>();
-	/** Newest version of each model that endpoints may load. */
+	/** Newest published version of each model. */
 	readonly #published = new Map<string, number>();
 	readonly #findVersion: (endpoint: string, model: string) => number | undefined;
 	readonly #isEnabled: boolean;
 
-	/** @param findVersion - newest version of a model that an endpoint is known to serve */
+	/** @param findVersion - returns the newest version of a model that an endpoint is known to serve */
 	constructor(findVersion: (endpoint: string, model: string) => number | undefined, isOn = true) {
 		this.#findVersion = findVersion;
 		this.#isEnabled = isOn;
 	}
 
-	/** Loads that are known of, those that are over by the time among them until they are asked for. */
+	/** Number of known loads, including expired windows that were not queried since. */
 	get size(): number {
 		return this.#windows.size;
 	}
 
 	/**
-	 * Learns of a load. News of a version that is served or older than known changes nothing.
+	 * Records a load. A version that the endpoint already serves, or that is older than the recorded one, is ignored.
 	 *
-	 * @param forMs - time for which it is expected to go on; nothing or less ends it
+	 * @param forMs - expected remaining time in milliseconds; 0 or less ends the load
 	 */
 	note({endpoint, model, version}: WeightLoad, forMs: number): void {
 		const key = toKey(endpoint, model);
@@ -67,15 +66,15 @@
 		});
 	}
 
-	/** Learns the newest version of a model that endpoints may load. */
+	/** Records the newest published version of a model. */
 	recordPublished(model: string, version: number): void {
 		this.#published.set(model, version);
 	}
 
 	/**
-	 * Learns from the beginning of an answer: an endpoint that refuses a model though slots are free, and does not hold its newest version, loads it.
+	 * Detects a load from the head of an answer: an endpoint that refuses a model despite free slots, and lacks its newest version, counts as loading it.
 	 *
-	 * @param model - what was asked for; undefined if nothing that is loaded
+	 * @param model - requested model; undefined if the request needs no loaded model
 	 */
 	recordHead(endpoint: string, head: ServingHead, model: string | undefined): void {
 		const version = model === undefined ? undefined : this.#published.get(model);
@@ -101,14 +100,14 @@
 		return window !== undefined;
 	}
 
-	/** Learns which version an endpoint serves; returns whether a load has ended by that. */
+	/** Ends a load once the endpoint serves its version; returns whether a load has ended. */
 	end({endpoint, model, version}: WeightLoad): boolean {
 		const key = toKey(endpoint, model);
 		const window = this.#windows.get(key);
 		return window !== undefined && version >= window.version && this.#windows.delete(key);
 	}
 
-	/** Forgets an endpoint. */
+	/** Removes all loads of an endpoint. */
 	forget(endpoint: string): void {
 		for (const [key, window] of this.#windows) {
 			if (window.endpoint === endpoint) {
@@ -118,7 +117,7 @@
 	}
 }
 
-/** Whether an endpoint did not run a request though slots were free. */
+/** Whether an endpoint refused a request despite free slots. */
 function refusesWithFreeSlots({isNotRun, status, load}: ServingHead): boolean {
 	return isNotRun && status === refusedStatus && load !== undefined && load.running + load.waiting < load.slots;
 }
--- a/packages/direct/src/persistent-speeds.ts
+++ b/packages/direct/src/persistent-speeds.ts
@@ -1,27 +1,27 @@
 /**
- * Lasting speeds of endpoints by their addresses, so that an endpoint that starts again on the same machine is not unknown.
+ * Remembers persistent speeds of endpoints by address, so that the speed of an endpoint that restarts on the same machine is known.
  *
- * Load pattern: hosts and endpoints are replaced one after the other all day. A host that has just started deals out a step's texts before it has
- * measured anything; what others have measured tells it which endpoints are fast. A guess is given up by the endpoint's own runs.
+ * Load pattern: hosts and endpoints are replaced one after the other all day. A host that has just started distributes the generations of a step before
+ * it has measured anything; measurements of other hosts tell it which endpoints are fast. Runs at the endpoint itself replace an assumed speed.
  */
 import type {EndpointStanding} from './endpoint-state.js';
 
-/** Change of a class that is worth telling, as a factor: full endpoints are a fifth slower than idle ones. */
+/** Smallest change of a speed that is published, as a factor; load alone makes a full endpoint a fifth slower than an idle one. */
 const changeFactor = 1.25;
 
-/** Addresses remembered; the one unused longest is forgotten first. */
+/** Maximum number of remembered addresses; the least recently updated one is evicted first. */
 const maxSpeeds = 20_000;
 
-/** A lasting speed, in milliseconds for a unit of work. */
+/** The persistent speed of the endpoint at an address, in milliseconds per unit of work. */
 export type EndpointClass = {service: string; address: string; classMs: number};
 
-/** What is known of lasting speeds, by service and address. */
+/** Known persistent speeds, by service and address. */
 export class PersistentSpeeds {
 	readonly #speeds = new Map<string, EndpointClass>();
-	/** What the store holds or others have told, by the same keys. */
+	/** Speeds that the store holds or other hosts have reported, by the same keys. */
 	readonly #published = new Map<string, number>();
 
-	/** Guesses the class of an endpoint by the one that was last at its address, unless it was measured here. */
+	/** Assumes the last known speed at the endpoint's address, unless this process has measured the endpoint. */
 	guess(state: EndpointStanding): void {
 		const known = this.#speeds.get(toKey(state.endpoint));
 		if (known && state.ownPersistentMs === undefined) {
@@ -29,25 +29,25 @@
 		}
 	}
 
-	/** Learns what this process has measured of an endpoint. */
+	/** Records the speed that this process has measured, if any. */
 	record({endpoint: {service, address}, ownPersistentMs: ownClassMs}: EndpointStanding): void {
 		if (ownClassMs !== undefined) {
 			this.#store({service, address, classMs: ownClassMs});
 		}
 	}
 
-	/** Learns what others have told. */
+	/** Records a speed that another host has reported. */
 	learn(entry: EndpointClass): void {
 		this.#store(entry);
 		this.#published.set(toKey(entry), entry.classMs);
 	}
 
-	/** Classes that others don't know yet. */
+	/** Speeds that are unpublished or have changed since they were published. */
 	listNews(): EndpointClass[] {
 		return [...this.#speeds.values()].filter(entry => isChanged(entry.classMs, this.#published.get(toKey(entry))));
 	}
 
-	/** Notes that the store holds them. */
+	/** Marks speeds as held by the store. */
 	noteTold(entries: readonly EndpointClass[]): void {
 		for (const entry of entries) {
 			this.#published.set(toKey(entry), entry.classMs);
--- a/packages/direct/src/poison-requests.ts
+++ b/packages/direct/src/poison-requests.ts
@@ -1,33 +1,33 @@
 /**
- * What calls tell of endpoints that crash under them, and what they ask before they are sent.
+ * Interface between calls and the tracking of poison requests, which crash the endpoints that run them.
  */
 import type {CallerRequest} from './call.js';
 
-/** Knows the requests that crash endpoints. */
+/** Tracks the requests that crash endpoints. */
 export type CrashWatch = {
-	/** Time after which a request that has crashed endpoints may be tried again, in milliseconds; undefined if it may run. */
+	/** Time until a poison request may be retried, in milliseconds; undefined if the request may run now. */
 	findRefusalMs(request: CallerRequest): number | undefined;
-	/** Notes that a request broke without an answer, and may have run. */
+	/** Records that a request got no answer and may have run. */
 	noteBroken(endpoint: string, request: CallerRequest): void;
-	/** Notes that an endpoint can't be reached or has started again. */
+	/** Records that an endpoint is unreachable or has restarted. */
 	noteDown(endpoint: string): void;
-	/** Notes that an endpoint has answered a request, so that it is not what crashes them. */
+	/** Records that an endpoint has answered a request, which shows that the request isn't poison. */
 	noteFinished(request: CallerRequest): void;
 };
 
-/** What a caller is told whose request has crashed endpoints. */
+/** Reason given to the caller of a refused poison request. */
 export const poisonRequestReason = 'the request has crashed endpoints';
 
-/** How an attempt at an endpoint has failed. */
+/** A failed attempt at an endpoint. */
 export type BrokenAttempt = {
 	endpoint: string;
 	request: CallerRequest;
-	/** Whether nothing can have run. */
+	/** Whether the request is proven not to have run. */
 	isNotRun: boolean;
 	hasRestarted: boolean;
 };
 
-/** Tells of a failed attempt. */
+/** Reports a failed attempt to the tracker, if there is one. */
 export function recordBrokenAttempt(watch: CrashWatch | undefined, {endpoint, request, isNotRun, hasRestarted}: BrokenAttempt): void {
 	if (!isNotRun) {
 		watch?.noteBroken(endpoint, request);
--- a/packages/direct/src/reported-paces.ts
+++ b/packages/direct/src/reported-paces.ts
@@ -1,22 +1,22 @@
 /**
- * Paces of endpoints that hosts tell each other.
+ * Exchanges measured paces of endpoints between hosts.
  *
- * Load pattern: a host measures thirty endpoints, and each thing that it tells goes to all hosts; so it tells of some at a time, by turns.
+ * Load pattern: a host measures thirty endpoints, and each report goes to all hosts. A report therefore holds some of the endpoints, in rotation.
  */
 import type {PersistentSpeeds} from './persistent-speeds.js';
 import type {EndpointStanding} from './endpoint-state.js';
 
-/** Chooses what to tell, and takes in what others tell. */
+/** Selects the paces to report, and records the paces that other hosts report. */
 export class ReportedPaces {
 	readonly #speeds: PersistentSpeeds;
-	/** Where the next turn begins. */
+	/** Index of the first endpoint of the next report. */
 	#offset = 0;
 
 	constructor(speeds: PersistentSpeeds) {
 		this.#speeds = speeds;
 	}
 
-	/** Best paces of late that this process has measured, in milliseconds for a unit; of `most` endpoints at most. */
+	/** Best recent paces that this process has measured, in milliseconds per unit, of at most `maxCount` endpoints. */
 	list(states: readonly EndpointStanding[], maxCount: number): Record<string, number> {
 		const known = states.flatMap(({endpoint: {id}, ownBestMs}) => ownBestMs === undefined ? [] : [[id, Math.round(ownBestMs * 10) / 10] as const]);
 		const offset = known.length > maxCount ? this.#offset % known.length : 0;
@@ -24,7 +24,7 @@
 		return Object.fromEntries([...known, ...known].slice(offset, offset + Math.min(maxCount, known.length)));
 	}
 
-	/** Learns what another process has measured. */
+	/** Records paces that another process has measured, in milliseconds per unit by endpoint. */
 	record(paces: Readonly<Record<string, number>>, findState: (id: string) => EndpointStanding | undefined): void {
 		for (const [id, unitMs] of Object.entries(paces)) {
 			const state = findState(id);
--- a/packages/direct/src/restart-watch.ts
+++ b/packages/direct/src/restart-watch.ts
@@ -1,20 +1,20 @@
 /**
- * Tells one start of an endpoint from another under the same id, and ends what is open at the earlier one.
+ * Distinguishes incarnations of an endpoint under the same id, and aborts runs that are open at a previous one.
  *
- * Load pattern: an endpoint crashes behind a cut link and starts again under its id. No connection tells, so that runs wait for events
- * that nobody makes, and what was believed of the earlier start (versions, load, orders accepted) is taken for the new one's.
+ * Load pattern: an endpoint crashes behind a broken link and restarts under its id. No connection reports it, so runs wait for events that will never come,
+ * and the known state of the previous incarnation (versions, load, accepted orders) is attributed to the new one.
  */
 import {PlatformError} from '@wasabiusher/backends';
 import type {RegisteredEndpoint} from '@wasabiusher/shared';
 
 /**
- * - `same`: what is known goes on
- * - `new`: nothing that is known holds
- * - `former`: written by an earlier start than the known one, and carried out late
+ * - `same`: the known state stays valid
+ * - `new`: the known state is invalid
+ * - `former`: written by an incarnation before the known one, and arrived late
  */
 export type IncarnationRelation = 'same' | 'new' | 'former';
 
-/** How a registration stands to the one known under its id. */
+/** Compares the incarnation of a registration with the one known under its id. */
 export function compareIncarnations(row: RegisteredEndpoint, known: RegisteredEndpoint): IncarnationRelation {
 	if (row.bornMs === undefined || known.bornMs === undefined) {
 		return row.orderCount >= known.orderCount ? 'same' : 'new';
@@ -27,39 +27,39 @@
 	return row.bornMs > known.bornMs ? 'new' : 'former';
 }
 
-/** Whether what an endpoint told of itself comes from the start that is registered, as far as both say. */
+/** Whether a start time belongs to the registered incarnation; true if either is unknown. */
 export function isOfIncarnation(bornMs: number | undefined, registered: RegisteredEndpoint): boolean {
 	return bornMs === undefined || registered.bornMs === undefined || bornMs === registered.bornMs;
 }
 
-/** Where restarts are told; an `EndpointDirectory` has this shape. */
+/** Source of restart notifications; an `EndpointDirectory` has this shape. */
 export type RestartSource = {
-	/** Calls back when the endpoint has started again; returns how to end that. */
+	/** Calls the listener when the endpoint has restarted; returns a function that unsubscribes it. */
 	onRestart(id: string, listener: () => void): () => void;
 };
 
-/** Ends a run whose endpoint has started again: it will never be answered. */
+/** Aborts a run whose endpoint has restarted, since it will never be answered. */
 export class RestartWatch {
 	readonly #abort = new AbortController();
 	readonly #unsubscribe: () => void;
 
 	constructor(source: RestartSource, id: string) {
 		this.#unsubscribe = source.onRestart(id, () => {
-			this.#abort.abort(new PlatformError('unknown', `${id} has started again`));
+			this.#abort.abort(new PlatformError('unknown', `endpoint ${id} has restarted`));
 		});
 	}
 
-	/** Aborts when the endpoint has started again. */
+	/** Aborts when the endpoint has restarted. */
 	get signal(): AbortSignal {
 		return this.#abort.signal;
 	}
 
-	/** Whether a failure is the earlier start's, of which nothing holds any more. */
+	/** Whether the endpoint has restarted, so that a failure of the run belongs to the previous incarnation. */
 	get hasRestarted(): boolean {
 		return this.#abort.signal.aborted;
 	}
 
-	/** Watches no more. */
+	/** Stops watching. */
 	end(): void {
 		this.#unsubscribe();
 	}
--- a/packages/direct/src/resumed-stream.ts
+++ b/packages/direct/src/resumed-stream.ts
@@ -1,39 +1,42 @@
 /**
- * A caller's streamed answer that goes on at another endpoint when its run breaks off.
+ * Resumes a caller's streamed answer at another endpoint when its run breaks off.
  *
- * Load pattern: an endpoint crashes or is cut off in the middle of streams that callers are reading. The caller would have to send
- * the request again and find out where it was; resumed within the same answer it sees a pause. Only whole events are
- * handed on, so that an event that broke off in its middle is not followed by the rest of another one.
+ * Load pattern: an endpoint crashes or is cut off while callers read its streams. Without resumption the caller would have to repeat the request and find
+ * its position; with it the caller sees only a pause. Only complete events are passed on, so that a truncated event is never joined with the next run's data.
  */
 import {Buffer} from 'node:buffer';
 import {PlatformError, type ServingStream} from '@wasabiusher/backends';
 import {describeError, type Log} from '@wasabiusher/shared';
 
-/** Longest unfinished event, in bytes; events are some hundred to some thousand. */
+/** Maximum size of an incomplete event, in bytes; typical events have some hundred to some thousand. */
 const maxEventBytes = 1_048_576;
 
-/** What ends an event. */
+/** Separator between events. */
 const boundary = '\n\n';
 
 const idPattern = /^id: ?(?<id>\d+)\r?$/mv;
 
-/** Opens the stream anew after an event; undefined if no endpoint can go on with it. */
+/** Reopens the stream after an event; resolves to undefined if no endpoint can resume it. */
 export type StreamReopener = (after: number | undefined) => Promise<ServingStream | undefined>;
 
-/** Events of a stream, whole ones only. */
+/** Splits a stream into complete events. */
 class EventSplitter {
-	/** Id of the last whole event; undefined before the first one. */
+	/** Id of the last complete event; undefined before the first one. */
 	lastId: number | undefined;
 	#rest = '';
 
-	/** Takes what has come; returns the whole events in it. */
+	/**
+	 * Adds a chunk; returns the events that are complete now.
+	 *
+	 * @throws {PlatformError} if an incomplete event exceeds the maximum size
+	 */
 	push(chunk: Uint8Array): string {
-		// An event holds text, one byte a character here, so that none is cut in two between chunks.
+		// Latin-1 maps each byte to one character, so that a multi-byte character split between chunks stays intact.
 		this.#rest += Buffer.from(chunk).toString('latin1');
 		const end = this.#rest.lastIndexOf(boundary);
 		if (end === -1) {
 			if (this.#rest.length > maxEventBytes) {
-				throw new PlatformError('invalid', `an event has more than ${maxEventBytes} bytes`);
+				throw new PlatformError('invalid', `an incomplete event exceeds ${maxEventBytes} bytes`);
 			}
 
 			return '';
@@ -49,7 +52,7 @@
 		return whole;
 	}
 
-	/** What follows the last whole event; forgotten then. */
+	/** Returns and clears the data after the last complete event. */
 	flush(): string {
 		const rest = this.#rest;
 		this.#rest = '';
@@ -58,10 +61,10 @@
 }
 
 /**
- * Yields whole events of a stream, and goes on elsewhere when it breaks off.
+ * Yields the complete events of a stream, and resumes it at another endpoint when it breaks off.
  *
- * @param after - last event that the caller has already; undefined if it has none
- * @throws {PlatformError} what the stream broke off with, if no endpoint can go on
+ * @param after - id of the last event that the caller already has; undefined if it has none
+ * @throws the error that broke the stream, if no endpoint can resume it
  */
 export async function * resumeStream(first: ServingStream, reopen: StreamReopener, log: Log, after?: number): AsyncIterable<Uint8Array> {
 	const splitter = new EventSplitter();
@@ -83,15 +86,15 @@
 				return;
 			}
 
-			// One without a length may have broken off; a resumed run tells whether something is missing.
-			failure = new PlatformError('unknown', 'the stream ended without telling that it was whole');
+			// A stream without a length may have broken off; a resumed run shows whether events are missing.
+			failure = new PlatformError('unknown', 'the stream ended without a length or a final chunk that shows it is complete');
 		} catch (error) {
 			failure = error;
 		}
 
 		splitter.flush();
 		log.info('stream_resumed', {after: splitter.lastId, reason: describeError(failure)});
-		// Each run goes on where the one before has broken.
+		// Each run resumes where the previous one broke off.
 		// eslint-disable-next-line no-await-in-loop
 		const next = await reopen(splitter.lastId);
 		if (!next) {
--- a/packages/direct/src/run-meter.ts
+++ b/packages/direct/src/run-meter.ts
@@ -1,17 +1,17 @@
 /**
- * What counts as a customer's request that has begun to run: once for each request, from the moment at which the first endpoint that may have run it
- * was asked, unless all that were asked prove that they have not.
+ * Counts customers' requests that have begun to run. A request counts once, from its first attempt that may have run, unless all its attempts are proven not
+ * to have run.
  */
 
-/** A request that counts. */
+/** A counted request. */
 export type RunMark = {
-	/** Takes it back: it has not run. */
+	/** Reverts the count, since the request has not run. */
 	undo(): void;
 };
 
 /** Counts requests of customers. */
 export type RunMeter = {
-	/** Counts a request that begins to run now. */
+	/** Counts a request that begins to run now; `undo` of the result reverts it. */
 	begin(customer: string): RunMark;
 };
 
@@ -22,7 +22,7 @@
 	readonly #meter: RunMeter | undefined;
 	#mark: RunMark | undefined;
 
-	/** @param customer - whose request it is; one of nobody's does not count */
+	/** @param customer - owner of the request; a request without one isn't counted */
 	constructor(customer: string | undefined, meter: RunMeter | undefined) {
 		this.#customer = customer;
 		this.#meter = meter;
@@ -32,7 +32,7 @@
 		return this.#endpoints.size;
 	}
 
-	/** Notes that an endpoint is asked now. */
+	/** Records an attempt at an endpoint. */
 	add(endpoint: string): void {
 		if (this.#endpoints.size === 0 && this.#customer !== undefined) {
 			this.#mark = this.#meter?.begin(this.#customer);
@@ -41,7 +41,7 @@
 		this.#endpoints.add(endpoint);
 	}
 
-	/** Notes that an endpoint was proven not to have run it. */
+	/** Records that an endpoint is proven not to have run the request. */
 	delete(endpoint: string): void {
 		this.#endpoints.delete(endpoint);
 		if (this.#endpoints.size === 0) {
--- a/packages/direct/src/sample-run.ts
+++ b/packages/direct/src/sample-run.ts
@@ -1,8 +1,8 @@
 /**
- * Makes the text of one sample: gathers events with the version of each, and goes on elsewhere when a run breaks.
+ * Generates the text of one sample: collects events with their weight versions, and resumes at another endpoint when a run breaks.
  *
- * Load pattern: endpoints that crash, leave, load weights or break answers off in the middle of long texts. Begun
- * anew each time, a text of seven seconds would miss its step; resumed after its last whole event it loses only a round trip.
+ * Load pattern: endpoints crash, leave, load weights or break off answers in the middle of long generations. A generation of seven seconds that restarts
+ * each time would miss its step; resumed after its last complete event it loses only a round trip.
  */
 import {longRunEvents} from '@wasabiusher/decisions';
 import {
@@ -19,32 +19,32 @@
 import {findUrgency, SampleSearch} from './sample-search.js';
 import {SilenceWatch} from './silence-watch.js';
 
-/** What a sample asks of the endpoints. */
+/** The request for one sample. */
 export type SampleRequest = {
-	/** Names the sample; each of its runs carries it. */
+	/** Id of the sample; each of its runs carries it. */
 	id: string;
-	/** Names its batch in logs. */
+	/** Id of its batch, for logs. */
 	batch?: string;
 	model: string | undefined;
-	/** Oldest version of the weights that may make its text. */
+	/** Oldest weight version that may generate it. */
 	leastVersion: number;
 	isSingleVersion: boolean;
-	/** Names the prompt that samples of a group share. */
+	/** Key of the prompt that the samples of a group share. */
 	group: string | undefined;
 	request: Omit<ServingRequest, 'remainingMs' | 'resumeAfter' | 'expectVersion' | 'attemptId'>;
-	/** When the sample may be given up, on the monotonic clock. */
+	/** When the sample expires, on the monotonic clock. */
 	deadlineAt: number;
-	/** Whether its runs keep away from endpoints whose slots are all taken by what is known, so that they hold up nothing. */
+	/** Whether its runs avoid endpoints whose slots are all taken by their known load, so that they delay no other work. */
 	avoidsFull?: boolean;
-	/** Its place in the line: whose turn it uses, when it should be done on the monotonic clock, and its place among those due at the same time. */
+	/** Its position in the wait queue: its flow for fair queueing, when it is due on the monotonic clock, and its rank among waiters due at the same time. */
 	place?: {turn: string; dueAt: number; rank: number};
-	/** When it should be whole, on the monotonic clock; undefined if nobody told. */
+	/** When it should be complete, on the monotonic clock; undefined if unknown. */
 	dueAt?: number;
-	/** Events that are expected still once it has so many; undefined if nobody knows. */
+	/** Expected number of remaining events after `made` events; undefined if unknown. */
 	expectLeft?(made: number): number | undefined;
 };
 
-/** Text made so far, with the versions that made it. */
+/** The text generated so far, with the weight versions that generated it. */
 export type SampleText = {
 	/** Data of each event, in order; the event ids count from 1. */
 	events: string[];
@@ -52,10 +52,10 @@
 };
 
 /**
- * - `made`: the text is whole
- * - `impossible`: an endpoint said that it can never be done
- * - `failed`: endpoints have failed it as often as the route allows
- * - `expired`: its time is up
+ * - `made`: the text is complete
+ * - `impossible`: an endpoint answered that the sample can never be generated
+ * - `failed`: the route's maximum number of failed attempts is reached, or the route was removed
+ * - `expired`: the deadline has passed
  * - `stopped`: its batch has ended or has another owner
  */
 export type SampleOutcome = {kind: 'made'; text: SampleText} | {kind: 'impossible' | 'failed' | 'expired' | 'stopped'};
@@ -64,34 +64,34 @@
 	directory: EndpointDirectory;
 	client: ServingClient;
 	log: Log;
-	/** Where it waits for an endpoint; undefined if it looks for one by itself. */
+	/** Wait queue for slots; undefined if the sample polls for an endpoint itself. */
 	line?: EndpointLine;
-	/** The route in force for the sample's batch; undefined once it was removed. */
+	/** The current route of the sample's batch; undefined once it was removed. */
 	findRoute(): Route | undefined;
-	/** Endpoints to be used before others; undefined if all are alike. */
+	/** Dedicated endpoints, which are used before others; undefined if all are equal. */
 	findHomes?(): ReadonlySet<string> | undefined;
-	/** A number in [0, 1). */
+	/** Returns a random number in [0, 1). */
 	chance(): number;
 };
 
-/** Events of a run from which, and after which again, its mean pace is told: it differs by less than a twentieth then. */
+/** Number of events between two records of a run's mean pace; over so many the mean differs by less than a twentieth. */
 const paceReportEvents = 20;
 
-/** Pause after an endpoint refused or broke, in milliseconds, so that a failing one is not asked in a tight loop. */
+/** Pause after a broken run, in milliseconds, so that a failing endpoint isn't retried in a tight loop. */
 const retryPauseMs = 20;
 
-/** Status of a sample that can never be done. */
+/** HTTP status for a sample that can never be generated. */
 const impossibleStatus = 422;
 
-/** Longest silence of a run before it is given up and resumed elsewhere, in milliseconds; loading weights takes about a second. */
+/** Maximum silence of a run before it is resumed at another endpoint, in milliseconds; loading weights takes about a second. */
 export const silenceMs = 4000;
 
 type RunStep = 'again' | SampleOutcome;
 
-/** A run that has begun at an endpoint. */
+/** A run in progress at an endpoint. */
 type OpenRun = {id: string; run: ServingRun; route: Route; watch: SilenceWatch};
 
-/** Runs one sample; `run` is called once. */
+/** Runs one sample; call `run` once. */
 export class SampleRun {
 	readonly #settings: SampleRunSettings;
 	readonly #sample: SampleRequest;
@@ -99,23 +99,23 @@
 	readonly #text: SampleText;
 	readonly #startedAt = performance.now();
 	readonly #times = new PhaseTimes();
-	/** Events that the text had when it came here. */
+	/** Number of events that an earlier owner had already generated. */
 	readonly #inheritedEvents: number;
 	#failures = 0;
 	#runs = 0;
 	readonly #search: SampleSearch;
-	/** Events that were expected of the text when it came here; undefined if nobody knew. */
+	/** Number of events expected at the first search for an endpoint; undefined if unknown. */
 	#expectedEvents: number | undefined;
-	/** What the present attempt was chosen by. */
+	/** Requirements that the current endpoint was chosen by. */
 	#requirement: EndpointRequirement | undefined;
-	/** The endpoint that broke last; another is preferred. */
+	/** The endpoint that the last run left, by a failure, a refusal or a move; another is preferred. */
 	#avoided: string | undefined;
-	/** The endpoint for which the last run was left; it counts as open there already. */
+	/** The endpoint that the last run moves to; the next run already counts as open there. */
 	#nextEndpoint: RegisteredEndpoint | undefined;
 
 	/**
-	 * @param signal - aborts when the sample is no longer wanted here
-	 * @param text - what an earlier owner has kept of its text
+	 * @param signal - aborts when this process no longer needs the sample
+	 * @param text - the retained text of an earlier owner
 	 */
 	constructor(settings: SampleRunSettings, sample: SampleRequest, signal: AbortSignal, text?: SampleText) {
 		this.#settings = settings;
@@ -126,12 +126,12 @@
 		this.#inheritedEvents = this.#text.events.length;
 	}
 
-	/** What has been made so far; changes while `run` goes on. */
+	/** The text generated so far; grows while `run` is in progress. */
 	get text(): SampleText {
 		return this.#text;
 	}
 
-	/** Runs until the text is whole or can't be. Never rejects. */
+	/** Runs until the text is complete or can't be completed. Never rejects. */
 	async run(): Promise<SampleOutcome> {
 		const outcome = await this.#runToEnd();
 		this.#releaseNext();
@@ -152,7 +152,7 @@
 			// eslint-disable-next-line no-await-in-loop
 			const endpoint = this.#nextEndpoint ?? await this.#findEndpoint(route);
 			this.#nextEndpoint = undefined;
-			// Each run goes on where the one before has broken.
+			// Each run resumes where the previous one broke off.
 			// eslint-disable-next-line no-await-in-loop
 			const step = endpoint ? await this.#runAt(endpoint, route) : 'again';
 			if (step !== 'again') {
@@ -181,7 +181,7 @@
 		return endpoint;
 	}
 
-	/** Gives up what was taken for a run that does not come. */
+	/** Releases the acquired endpoint if no run will use it. */
 	#releaseNext(): void {
 		if (this.#nextEndpoint) {
 			this.#settings.directory.release(this.#nextEndpoint.id);
@@ -249,7 +249,7 @@
 				batch: this.#sample.batch, sample: this.#sample.id, model: this.#sample.model, endpoint: id, status, from: before, events: this.#text.events.length, headMs,
 				tookMs: Math.round(performance.now() - startedAt),
 			});
-			// Ends a run that is not read to its end.
+			// Cancels a run that was not read to its end.
 			stop.abort();
 			directory.release(id);
 		}
@@ -285,7 +285,7 @@
 		}
 
 		if (!run.isFramed) {
-			// It may have broken off; a resumed run tells whether something is missing.
+			// The run may have broken off; a resumed run shows whether events are missing.
 			log.info('run_unframed', {sample: this.#sample.id, endpoint: id, events: this.#text.events.length});
 			return 'again';
 		}
@@ -308,7 +308,7 @@
 		return 'again';
 	}
 
-	/** Reads the run to its end; false if it is left in its middle for a faster endpoint. */
+	/** Reads the run to its end; false if the sample moves to a better endpoint before that. */
 	async #readEvents(id: string, run: ServingRun, watch: SilenceWatch): Promise<boolean> {
 		const {directory, log} = this.#settings;
 		const from = this.#text.events.length;
@@ -346,7 +346,7 @@
 		return true;
 	}
 
-	/** What is expected of the text from now on. */
+	/** Expected remaining events, and time until the sample is due. */
 	#estimateRemaining(): Pick<EndpointRequirement, 'units' | 'dueInMs'> {
 		const {expectLeft, dueAt} = this.#sample;
 		return {units: expectLeft?.(this.#text.events.length), dueInMs: dueAt === undefined ? undefined : dueAt - performance.now()};
@@ -372,12 +372,12 @@
 		}
 
 		if (version < leastVersion) {
-			throw new PlatformError('invalid', `made by version ${version}, older than ${leastVersion}`);
+			throw new PlatformError('invalid', `event of version ${version}, expected ${leastVersion} or newer`);
 		}
 
 		if (isSingleVersion && versions.size > 0 && !versions.has(version)) {
 			this.#discardText();
-			throw new PlatformError('invalid', `version ${version} began within a text that must have one version`);
+			throw new PlatformError('invalid', `event of version ${version} in a text that must have a single version`);
 		}
 
 		events.push(data);
--- a/packages/direct/src/sample-search.ts
+++ b/packages/direct/src/sample-search.ts
@@ -1,5 +1,5 @@
 /**
- * Finds an endpoint for the next run of a sample: in the line of the host, or by itself.
+ * Finds an endpoint for the next run of a sample, through the wait queue of the host or by polling.
  */
 import type {RegisteredEndpoint, Route} from '@wasabiusher/shared';
 import {chooseService} from './call.js';
@@ -7,41 +7,41 @@
 import type {EndpointLine, QueueRequirement} from './endpoint-queue.js';
 import type {SampleRequest, SampleRunSettings} from './sample-run.js';
 
-/** Most requests of one process at an endpoint, as a multiple of its slots: what is beyond waits here, where it can still be sent elsewhere. */
+/** Maximum number of open requests of this process at an endpoint, as a multiple of its slots: further ones wait here, where they can still go to another endpoint. */
 const openLimit = 1;
 
-/** Time after which one that waits in the line looks again at its route and its homes, in milliseconds. */
+/** Time after which a queued sample reads its route and dedicated endpoints again, in milliseconds. */
 const recheckMs = 1000;
 
-/** Longest wait until endpoints are looked at again though none has changed, in milliseconds. */
+/** Maximum wait before endpoints are polled again if none has changed, in milliseconds. */
 const pollMs = 100;
 
 /**
- * Urgency of runs that nobody waits for, and the last one before it: endpoints take ten classes. Without a class all runs count alike there, so
- * that at an endpoint which two trainers fill the one whose route goes first waited behind the other.
+ * Urgency of runs that nothing waits for, and the lowest urgency of other runs: endpoints have ten classes. Without a class all runs are equal there, so
+ * that at an endpoint filled by two trainers the runs of the route with the higher priority would wait behind the others.
  */
 const backgroundUrgency = 9;
 const maxForegroundUrgency = 8;
 
-/** What is expected of a text from now on. */
+/** Estimates the remaining work of a sample and the time until it is due. */
 export type RemainingEstimate = () => Pick<EndpointRequirement, 'units' | 'dueInMs'>;
 
-/** What was found. */
+/** Result of a search. */
 export type SearchResult = {
-	/** What was looked for. */
+	/** Requirements that the endpoint was chosen by. */
 	requirement: EndpointRequirement;
-	/** Counted as open there; undefined if there is none yet. */
+	/** The endpoint, at which the run already counts as open; undefined if none is eligible yet. */
 	endpoint: RegisteredEndpoint | undefined;
-	/** Whether no endpoint has the version any more that the text was begun with. */
+	/** Whether no endpoint has the version any more that the text must continue with. */
 	isVersionLost: boolean;
 };
 
-/** Class of a sample's runs; 0 goes first. */
+/** Urgency class of a sample's runs; 0 is served first. */
 export function findUrgency({avoidsFull}: SampleRequest, {priority}: Route): number {
 	return avoidsFull ? backgroundUrgency : Math.min(maxForegroundUrgency, priority);
 }
 
-/** Looks for endpoints for one sample. */
+/** Searches endpoints for one sample. */
 export class SampleSearch {
 	readonly #settings: SampleRunSettings;
 	readonly #sample: SampleRequest;
@@ -54,17 +54,17 @@
 		this.#signal = signal;
 	}
 
-	/** Whether it waits for an endpoint. */
+	/** Whether the sample waits for an endpoint. */
 	get isWaiting(): boolean {
 		return this.#isWaiting;
 	}
 
 	/**
-	 * Takes an endpoint; waits for one for a time if there is none.
+	 * Acquires an endpoint; waits a limited time if none is eligible.
 	 *
-	 * @param begunVersion - version of the text made so far
-	 * @param avoided - endpoint that is asked only if no other fits
-	 * @param estimateRemaining - what is expected of the text from now on
+	 * @param begunVersion - version that generated the text so far; undefined if there is none
+	 * @param avoided - endpoint that is used only if no other is eligible
+	 * @param estimateRemaining - estimates the remaining work
 	 */
 	async find(route: Route, begunVersion: number | undefined, avoided: string | undefined, estimateRemaining: RemainingEstimate): Promise<SearchResult> {
 		const requirement = {...this.#toRequirement(route, begunVersion), ...estimateRemaining()};
@@ -79,12 +79,12 @@
 			return {requirement, endpoint: undefined, isVersionLost: true};
 		}
 
-		// Without a line the text begins anew at once as well, and waits after that.
+		// Without a queue, the caller also discards the text, but only after this wait.
 		this.#isWaiting = true;
 		const queueRequirement: QueueRequirement = {
 			...requirement,
 			avoided,
-			// Read when a slot is free, which may be a second later.
+			// Evaluated when a slot is free, which may be a second later.
 			get dueInMs() {
 				return estimateRemaining().dueInMs;
 			},
@@ -118,7 +118,7 @@
 	#isVersionLost({service, exactVersion}: EndpointRequirement): boolean {
 		const {directory} = this.#settings;
 		const registered = exactVersion === undefined ? [] : directory.list(service);
-		// While nobody is registered, as during an outage of the store, nothing is known of versions.
+		// While no endpoint is registered, as during an outage of the store, versions are unknown.
 		return exactVersion !== undefined && registered.length > 0 && !registered.some(({id}) => directory.findVersion(id, exactVersion.model) === exactVersion.version);
 	}
 
@@ -135,7 +135,7 @@
 			return undefined;
 		}
 
-		// The route may have changed meanwhile.
+		// The route may have changed during the wait.
 		const isAllowed = findRoute()?.targets.some(({service}) => service === requirement.service);
 		if (!isAllowed) {
 			directory.release(answer.endpoint.id);
--- a/packages/direct/src/silence-watch.ts
+++ b/packages/direct/src/silence-watch.ts
@@ -1,22 +1,22 @@
 /**
- * Ends a run at an endpoint that has gone dark.
+ * Aborts a run at an endpoint that has stopped responding.
  *
- * Load pattern: an engine goes dark, or is cut off, in the middle of eight texts; no connection tells. Events come every 40 ms from
- * a sound engine and every 400 ms from one that is ten times slower, so that a second without any, from
- * this run or another at the same engine, tells enough. A wait of four seconds held up each of the eight steps' groups by that.
+ * Load pattern: an engine hangs or is cut off while it generates eight texts, and no connection reports it. Events arrive every 40 ms from a healthy engine
+ * and every 400 ms from one that is ten times slower, so a second without any event, of this run or another at the same engine, is sufficient evidence.
+ * A limit of four seconds delayed the groups of all eight texts by as much.
  */
 import {DeadlineError} from '@wasabiusher/backends';
 
-/** Silence of a run and its endpoint after which it is given up, in milliseconds. */
+/** Silence of a run and its endpoint after which the run is aborted, in milliseconds. */
 const eventSilenceMs = 1000;
 
-/** The same before the head of the answer: a full endpoint lets a run wait for its turn. */
+/** The same limit before the head of the answer, in milliseconds: a full endpoint queues the run. */
 const headSilenceMs = 2000;
 
-/** Time between looks, in milliseconds. */
+/** Interval between checks, in milliseconds. */
 const checkMs = 250;
 
-/** Delay of a look that shows that this process itself stood still, in milliseconds. */
+/** Delay of a check beyond which this process itself counts as stalled, in milliseconds. */
 const processStallMs = 500;
 
 /** Watches one run. */
@@ -29,24 +29,24 @@
 	#limitMs = headSilenceMs;
 
 	/**
-	 * @param stop - aborted with a `DeadlineError` when the run is given up
-	 * @param findHeardAt - when anything was last heard from the endpoint, on the monotonic clock
+	 * @param stop - aborted with a `DeadlineError` when the run is silent for too long
+	 * @param findLastReceivedAt - returns when data last arrived from the endpoint, on the monotonic clock
 	 */
-	constructor(stop: AbortController, findHeardAt: () => number) {
+	constructor(stop: AbortController, findLastReceivedAt: () => number) {
 		this.#stop = stop;
-		this.#findLastReceivedAt = findHeardAt;
+		this.#findLastReceivedAt = findLastReceivedAt;
 		this.#timer = setInterval(() => {
 			this.#check();
 		}, checkMs);
 	}
 
-	/** Notes that something of the run has come; from then on events are expected. */
+	/** Records that data of the run has arrived; from then on the limit between events applies. */
 	recordReceived(): void {
 		this.#lastReceivedAt = performance.now();
 		this.#limitMs = eventSilenceMs;
 	}
 
-	/** Watches no more. */
+	/** Stops watching. */
 	end(): void {
 		clearInterval(this.#timer);
 	}
@@ -55,10 +55,10 @@
 		const now = performance.now();
 		const lateMs = now - this.#checkedAt - checkMs;
 		if (lateMs > processStallMs) {
-			// What came while this process stood still has not been read yet.
+			// Data that arrived while this process was stalled has not been read yet.
 			this.#lastReceivedAt = now;
 		} else if (lateMs > 0) {
-			// The time by which this process is late is not the endpoint's.
+			// The lag of this process doesn't count as silence of the endpoint.
 			this.#lastReceivedAt += lateMs;
 		}
 
@@ -66,7 +66,7 @@
 		const silentMs = now - Math.max(this.#lastReceivedAt, this.#findLastReceivedAt());
 		if (silentMs >= this.#limitMs) {
 			this.end();
-			this.#stop.abort(new DeadlineError('deadline', `nothing has come for ${Math.round(silentMs)} ms`));
+			this.#stop.abort(new DeadlineError('deadline', `no data received for ${Math.round(silentMs)} ms`));
 		}
 	}
 }
--- a/packages/direct/src/slot-limits.ts
+++ b/packages/direct/src/slot-limits.ts
@@ -1,81 +1,80 @@
 /**
- * What this process wants of each endpoint's slots, and which of them it may fill.
+ * Requests slots of contended endpoints for this process, and applies the limits granted to it.
  *
- * Load pattern: a hundred texts find no room on a dozen endpoints that other hosts fill as well. Each is counted as wanting a slot of one endpoint, the
- * one that would serve it soonest, so that homes don't keep slots for a text at several of them. Endpoints that nobody contends for are asked
- * about by nobody.
+ * Load pattern: a hundred generations find no headroom on a dozen endpoints that other hosts fill too. Each generation requests a slot of one endpoint only,
+ * the one that would serve it soonest, so that coordinators don't reserve slots for it at several endpoints. Endpoints without contention cause no messages.
  */
 import {chooseDirect} from '@wasabiusher/decisions';
 import type {ServingHead} from '@wasabiusher/backends';
 import type {RationSource, Want} from '@wasabiusher/slots';
 import type {EndpointStanding} from './endpoint-state.js';
 
-/** One that waits for a slot. */
+/** Work that waits for a slot. */
 export type SlotWaiter = {
-	/** Names it among all that wait in this process. */
+	/** Unique among the waiters of this process. */
 	id: string;
-	/** Class of urgency; 0 goes first. */
+	/** Urgency class; 0 is served first. */
 	urgency: number;
 };
 
-/** Time after which one that has not looked for a slot again has left, in milliseconds: three looks. */
+/** Time after which a slot request that was not renewed expires, in milliseconds: three polls. */
 const requestExpiryMs = 300;
 
-/** Least time between two notes of one that waits, in milliseconds: all look at each change. */
+/** Minimum interval between two renewals by one waiter, in milliseconds: all waiters retry at each change. */
 const minRequestIntervalMs = 50;
 
-/** Time until one is due that does not tell, in milliseconds: after all that do. */
+/** Due time of waiters without one, in milliseconds from now: after all others. */
 const defaultDueMs = 60_000;
 
-/** What endpoints need not have to be wanted. */
+/** Requirements that don't apply to the endpoint of a slot request. */
 const withoutLimits = {openLimit: undefined, waiter: undefined} as const;
 
-/** Time for which one keeps the endpoint that it wants, in milliseconds: some messages to its home. */
+/** Minimum time for which a waiter keeps its requested endpoint, in milliseconds: a few messages to its coordinator. */
 const minStayMs = 100;
 
-/** Part of an endpoint's slots beyond which this process tells of it though nothing waits. */
+/** Fraction of an endpoint's slots beyond which this process reports its use even if nothing waits. */
 const unreportedFraction = 0.5;
 
-/** Age up to which an endpoint's load tells of requests that hosts have not told of, in milliseconds; later those have told that they ended. */
+/** Maximum age of a load report that shows requests which hosts have not reported, in milliseconds; after that the hosts have reported their ends. */
 const freshLoadMs = 50;
 
-/** Time for which an endpoint is told of after it was last contended, in milliseconds. */
+/** Time for which an endpoint is reported after its last contention, in milliseconds. */
 const contentionMs = 1000;
 
-/** What of a need counts here. */
+/** The requirements of a waiter that slot requests depend on. */
 export type UnmetRequirement = {waiter?: SlotWaiter; dueInMs?: number; avoidsFull?: boolean};
 
 type SlotRequest = SlotWaiter & {endpoint: string; dueAt: number; since: number; renewedAt: number};
 
-/** The slots that are contended. */
+/** Slot requests and limits of contended endpoints. */
 export class SlotLimits {
 	readonly #source: RationSource;
 	readonly #find: (endpoint: string) => EndpointStanding | undefined;
-	/** By waiter, and waiters by endpoint. */
+	/** Requests by waiter, and waiters by endpoint. */
 	readonly #requests = new Map<string, SlotRequest>();
 	readonly #waiterIds = new Map<string, Set<string>>();
-	/** Until when each endpoint is told of, on the monotonic clock. */
+	/** Until when each contended endpoint is reported, on the monotonic clock. */
 	readonly #contendedUntil = new Map<string, number>();
 
-	/** @param find - gives the standing of an endpoint */
+	/** @param find - returns the state of an endpoint */
 	constructor(source: RationSource, find: (endpoint: string) => EndpointStanding | undefined) {
 		this.#source = source;
 		this.#find = find;
 	}
 
-	/** Whether one more may be sent to an endpoint. */
+	/** Whether one more request may be sent to an endpoint. */
 	allows({endpoint, open}: EndpointStanding): boolean {
 		const limit = this.#source.findLimit(endpoint.id);
 		return limit === undefined || open < limit;
 	}
 
-	/** Slots of an endpoint that are filled without asking: half of what others leave, since several see the same free slots. */
+	/** Number of an endpoint's slots that may be filled without a grant: half of the free ones, since several hosts see the same free slots. */
 	findFreePart(endpoint: string): number {
 		const state = this.#find(endpoint);
 		return state ? Math.max(1, Math.floor((state.endpoint.slots - state.others) * unreportedFraction)) : 1;
 	}
 
-	/** Notes that one was sent. */
+	/** Records that a request was sent. */
 	recordBegun(state: EndpointStanding, waiter: SlotWaiter | undefined): void {
 		const requestedEndpoint = waiter && this.#withdraw(waiter.id);
 		const {id, slots} = state.endpoint;
@@ -86,17 +85,17 @@
 		this.#report(state);
 		const other = requestedEndpoint === undefined || requestedEndpoint === id ? undefined : this.#find(requestedEndpoint);
 		if (other) {
-			// Its slot there goes to others.
+			// The requested slot is free for other hosts.
 			this.#report(other);
 		}
 	}
 
-	/** Notes that one has ended. */
+	/** Records that a request has ended. */
 	recordEnd(state: EndpointStanding): void {
 		this.#report(state);
 	}
 
-	/** Learns from the beginning of an answer whether an endpoint has turned one away since its slots were taken. */
+	/** Marks an endpoint as contended if the head of its answer shows a refusal for lack of free slots. */
 	recordHead(state: EndpointStanding | undefined, {isNotRun, load}: ServingHead): void {
 		if (state && isNotRun && load && load.running + load.waiting >= load.slots) {
 			this.#markContended(state.endpoint.id);
@@ -105,9 +104,9 @@
 	}
 
 	/**
-	 * Notes that one found no room. Who would leave room to others wants none.
+	 * Requests a slot for a waiter that found no headroom. Work that avoids full endpoints requests none.
 	 *
-	 * @param list - finds the endpoints that would serve it if they had room
+	 * @param list - lists the endpoints that would be eligible if they had headroom
 	 */
 	recordUnmet({waiter, dueInMs = defaultDueMs, avoidsFull}: UnmetRequirement, list: (overrides: typeof withoutLimits) => EndpointStanding[]): void {
 		const now = performance.now();
@@ -142,7 +141,7 @@
 		}
 	}
 
-	/** Forgets those that have left; to be called each 50 ms or so. */
+	/** Expires requests that were not renewed, and reports contended endpoints; call it about every 50 ms. */
 	tick(): void {
 		const now = performance.now();
 		for (const {id, renewedAt: seenAt} of this.#requests.values()) {
@@ -175,7 +174,7 @@
 		}
 	}
 
-	/** What waits for an endpoint: by urgency, each with the due time of its first. */
+	/** Waiters for an endpoint: their number by urgency, each with the earliest due time. */
 	#listWants(endpoint: string): Want[] {
 		const now = performance.now();
 		const wants = new Map<number, Want>();
@@ -193,11 +192,11 @@
 			const candidate = state.toCandidate(undefined);
 			return {...candidate, open: candidate.open + (this.#waiterIds.get(candidate.id)?.size ?? 0)};
 		});
-		// Any of equals will do: the wishes that were counted decide between them.
+		// Equal candidates need no random choice: the requests counted above decide between them.
 		return chooseDirect(weighted, 0)?.id;
 	}
 
-	/** Forgets what one wants; returns where it wanted it. */
+	/** Removes the request of a waiter; returns its endpoint. */
 	#withdraw(id: string): string | undefined {
 		const request = this.#requests.get(id);
 		if (!request) {
--- a/packages/direct/src/stream-call.ts
+++ b/packages/direct/src/stream-call.ts
@@ -1,8 +1,8 @@
 /**
- * A caller's request whose answer is handed on as it comes.
+ * Runs a caller's request whose answer is streamed to the caller.
  *
- * Only attempts that are proven not run are repeated, unless the route says that a stream may be resumed: then it goes on after
- * its last whole event at another endpoint, within the same answer.
+ * Only attempts that are proven not to have run are repeated. On a route with resumable streams, a broken stream also resumes after
+ * its last complete event at another endpoint, within the same answer.
  */
 import type {ServingRequest, ServingStream} from '@wasabiusher/backends';
 import {describeError, type RegisteredEndpoint, type Route} from '@wasabiusher/shared';
@@ -16,35 +16,35 @@
 import {RestartWatch} from './restart-watch.js';
 import {SilenceWatch} from './silence-watch.js';
 
-/** The beginning of a streamed answer, or why there is none. */
+/** The head and body of a streamed answer, or why there is none. Call `release` when the body has ended. */
 export type StreamOutcome = {kind: 'opened'; stream: ServingStream; endpoint: string; release(): void} | Exclude<CallOutcome, {kind: 'answered'}>;
 
-/** An attempt that has begun at an endpoint. */
+/** An attempt in progress at an endpoint. */
 type OpenAttempt = {endpoint: RegisteredEndpoint; stream: ServingStream};
 
-/** Opens one streamed answer; `open` is called once. */
+/** Opens one streamed answer; call `open` once. */
 export class StreamCall {
 	readonly #settings: CallSettings;
 	readonly #route: Route;
 	readonly #request: CallerRequest;
 	readonly #signal: AbortSignal;
 	readonly #service: string;
-	/** Endpoints that are not asked again. */
+	/** Endpoints that were tried already. */
 	readonly #excluded = new Set<string>();
-	/** Runs that have begun, or may have. */
+	/** Number of runs that have begun or may have begun. */
 	#begunCount = 0;
-	/** The same by endpoint, as they count for the customer. */
+	/** Endpoints that may have begun to run the request, counted for the customer. */
 	readonly #runs: BegunRuns;
-	/** Where it runs at present. */
+	/** The endpoint of the current attempt. */
 	#currentEndpoint: string | undefined;
 	#restart: RestartWatch | undefined;
 	#lastReason = 'no endpoint is registered';
 	readonly #admission: CallAdmission;
 	#hasWaited = false;
-	/** Aborts when the caller waits no longer for the beginning. */
+	/** Aborts when the answer has not begun by the caller's deadline. */
 	readonly #deadline = new AbortController();
 
-	/** @param signal - aborts when the caller has left */
+	/** @param signal - aborts when the caller has disconnected */
 	constructor(settings: CallSettings, route: Route, request: CallerRequest, signal: AbortSignal) {
 		this.#settings = settings;
 		this.#route = route;
@@ -65,7 +65,7 @@
 			this.#deadline.abort();
 		}, Math.max(0, this.#request.deadlineAt - performance.now()));
 		const outcome = await this.#attemptAll(this.#request.resumeAfter);
-		// What has begun in time may go on.
+		// An answer that has begun in time may take longer than the deadline.
 		clearTimeout(timer);
 		if ('kind' in outcome) {
 			return outcome;
@@ -85,7 +85,7 @@
 		};
 	}
 
-	/** Goes on after an event; undefined if no endpoint can. */
+	/** Resumes the stream after an event at another endpoint; undefined if none can. */
 	async #reopen(after: number | undefined): Promise<ServingStream | undefined> {
 		if (this.#currentEndpoint !== undefined && !this.#restart?.hasRestarted) {
 			this.#settings.directory.recordFailure(this.#currentEndpoint);
@@ -98,11 +98,11 @@
 			return undefined;
 		}
 
-		// The answer has begun as a success; another endpoint's failure can't follow.
+		// The caller has already received a successful head, so a failure can't be passed on.
 		return outcome.stream.status === 200 ? outcome.stream : undefined;
 	}
 
-	/** Asks one endpoint after the other until one begins. */
+	/** Tries one endpoint after another until one begins to answer. */
 	async #attemptAll(after: number | undefined): Promise<OpenAttempt | Exclude<StreamOutcome, {kind: 'opened'}>> {
 		while (!this.#signal.aborted && !this.#deadline.signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
@@ -114,7 +114,7 @@
 			const {endpoint} = turn;
 			this.#currentEndpoint = endpoint.id;
 			this.#excluded.add(endpoint.id);
-			// An attempt depends on what became of the one before.
+			// Each attempt depends on the outcome of the previous one.
 			// eslint-disable-next-line no-await-in-loop
 			const outcome = await this.#attempt(endpoint, after);
 			if (outcome) {
@@ -127,12 +127,12 @@
 		return this.#conclude();
 	}
 
-	/** What to tell a caller that has left, or waits no longer. */
+	/** The outcome for a caller that has disconnected or whose deadline has passed. */
 	#conclude(): Exclude<StreamOutcome, {kind: 'opened'}> {
 		return this.#signal.aborted ? {kind: 'stopped'} : {kind: 'timeout', hasSent: this.#runs.size > 0};
 	}
 
-	/** Only the first attempt waits for its turn. */
+	/** Acquires an endpoint; only the first attempt waits in the queue. */
 	async #acquire(): Promise<AdmissionOutcome> {
 		if (!this.#hasWaited) {
 			this.#hasWaited = true;
@@ -153,7 +153,7 @@
 			: {kind: 'not-run', reason: this.#lastReason, retryAfterMs: this.#settings.directory.planRetryAfterMs(this.#service)};
 	}
 
-	/** Asks one endpoint; undefined if it has proven that nothing has run there. */
+	/** Makes an attempt at one endpoint; undefined if another endpoint may be tried. */
 	async #attempt(endpoint: RegisteredEndpoint, after: number | undefined): Promise<OpenAttempt | Exclude<StreamOutcome, {kind: 'opened'}> | undefined> {
 		const {client, directory, log} = this.#settings;
 		const {id} = endpoint;
@@ -210,7 +210,7 @@
 		});
 	}
 
-	/** Hands a body on and tells how it ended: only a whole one shows that the request crashes nothing. */
+	/** Passes a body on and reports how it ended: only a complete body shows that the request isn't poison. */
 	async * #reportEnd(id: string, body: AsyncIterable<Uint8Array>, restart: RestartWatch): AsyncIterable<Uint8Array> {
 		try {
 			yield * body;
@@ -239,7 +239,7 @@
 	}
 }
 
-/** Hands a body on and tells the watch of each piece. */
+/** Passes a body on and reports each chunk to the silence watch. */
 async function * watchSilence(body: AsyncIterable<Uint8Array>, watch: SilenceWatch): AsyncIterable<Uint8Array> {
 	try {
 		for await (const chunk of body) {
--- a/packages/direct/src/weight-orders.ts
+++ b/packages/direct/src/weight-orders.ts
@@ -1,9 +1,9 @@
 /**
- * Brings endpoints to the published versions of their models, by orders given directly to them.
+ * Brings endpoints to the published versions of their models by sending them weight orders directly.
  *
- * Load pattern: a new version every few seconds while steps are being made. Only a part of a service loads at a time, so that
- * the rest goes on; an order names how many orders the endpoint must have accepted before, so that one that is carried out
- * late, after a newer one, does nothing. No order is given without the lease, and none whose version an endpoint holds.
+ * Load pattern: a new version every few seconds while steps are in progress. Only a fraction of a service loads at a time, so that the rest keeps
+ * serving. An order names how many orders the endpoint must have accepted before, so that an order that arrives late, after a newer one, has no effect.
+ * No order is sent without the lease, and none for a version that the endpoint already holds.
  */
 import {
 	defaultPolicy, placeModels, type ModelNeed, type Policy,
@@ -19,68 +19,68 @@
 import {LoadSchedule} from './load-schedule.js';
 import type {WeightLoad} from './load-windows.js';
 
-/** The right to give orders; a `LeaseHolder` has this shape. */
+/** The lease that permits sending orders; a `LeaseHolder` has this shape. */
 export type OrderLease = {readonly fence: number; holds(roomMs?: number): boolean};
 
 export type WeightOrdersSettings = {
 	directory: EndpointDirectory;
 	client: ServingClient;
 	right: OrderLease;
-	/** Time for which the right must last beyond the send of an order, in milliseconds; 0 where endpoints refuse an old fence themselves. */
+	/** Time for which the lease must still be held when an order is sent, in milliseconds; 0 where endpoints themselves refuse an outdated fence. */
 	orderRoomMs?: number;
-	/** Name of this process, told with each order. */
+	/** Name of this process, sent with each order. */
 	holder: string;
 	log: Log;
 	policy?: Policy;
-	/** How runs under way are treated at a service. */
+	/** How a service's endpoints treat runs in progress while they load. */
 	chooseMode(service: string): LoadMode;
-	/** Tells the other hosts that an endpoint begins to load, for how long it probably will, in milliseconds, or with 0 that it does not. */
+	/** Announces a load to the other hosts with its expected duration in milliseconds; 0 withdraws the announcement. */
 	tellLoad?(load: WeightLoad, forMs: number): void;
-	/** Whether the configuration names a service; others get no orders. All are by default. */
+	/** Whether the configuration names a service; endpoints of other services get no orders. By default all services do. */
 	isServed?(service: string): boolean;
-	/** What the steps of each model ask for of late. */
+	/** Recent demand of the steps of each model. */
 	findNeeds?(): ReadonlyMap<string, ModelNeed>;
-	/** Texts of a model that have not begun, at all hosts; undefined if nobody tells. */
+	/** Number of generations of a model that have not begun, over all hosts; undefined if unknown. */
 	findWaiting?(model: string): number | undefined;
 };
 
-/** Part of a service's endpoints that load at once: a store of weights slows down beyond it, and the others must carry the load. */
+/** Maximum fraction of a service's endpoints that load at once: the weight store slows down beyond it, and the other endpoints must carry the load. */
 const loadingFraction = 0.3;
 
 /**
- * Part of the endpoints that follow one model which load it at once: if both of a model's two endpoints loaded together, none could make its
- * samples for about a second.
+ * Maximum fraction of the endpoints assigned to one model that load it at once: if both of a model's two endpoints loaded together, none could generate
+ * its samples for about a second.
  */
 const modelLoadingFraction = 0.5;
 
-/** Time between looks at an endpoint that carries out an order, in milliseconds; a load takes about a second and a report is priced as a probe. */
+/** Interval between reports read from an endpoint that loads, in milliseconds; a load takes about a second and a report costs as much as a probe. */
 const reportIntervalMs = 150;
 
-/** Time after which an endpoint that carries out an order is no longer waited for, in milliseconds: several times a slow load. */
+/** Time after which an order in progress is abandoned, in milliseconds: several times a slow load. */
 const orderTimeoutMs = 15_000;
 
-/** Pause before an endpoint that did not take an order is asked again, in milliseconds. */
+/** Pause before a new order to an endpoint that did not take one, in milliseconds. */
 const retryMs = 300;
 
-/** Time for which other work is kept from an endpoint that was told to load, in milliseconds; its reports prolong it. */
+/** Time for which an endpoint that was ordered to load gets no other work, in milliseconds; its reports extend it. */
 const loadPauseMs = 250;
 
 /**
- * Age that a report may have, in milliseconds: endpoints tell what was some hundred milliseconds ago. An endpoint that has just begun
- * to load must not be taken for one that has not taken its order, or two endpoints of a model load together.
+ * Maximum age of a report's content, in milliseconds: reports lag by some hundred milliseconds. An endpoint that has just begun to load must not count as
+ * one that has not taken its order, otherwise two endpoints of a model load together.
  */
 const maxReportAgeMs = 600;
 
 /**
- * Longest time for which the places of models hold, in milliseconds; a change of endpoints or versions ends it at once. Working them out
- * for 10,000 endpoints takes longer than the time between two looks.
+ * Maximum age of model assignments, in milliseconds; a change of endpoints or versions invalidates them at once. They are cached because computing them
+ * for 10,000 endpoints takes longer than the interval between two ticks.
  */
 const maxAssignmentAgeMs = 1000;
 
-/** How much longer than usual a load is waited for: those that begin together slow one another down. */
+/** Factor by which an announced load exceeds the mean load time: loads that begin together slow one another down. */
 const loadMargin = 1.25;
 
-/** Which models each endpoint of a service follows, and the number of endpoints and the versions that this was worked out from. */
+/** Models assigned to each endpoint of a service, the endpoint count and versions that they were computed from, and when, on the monotonic clock. */
 type ModelAssignments = {models: ReadonlyMap<string, readonly string[]>; basis: string; madeAt: number};
 
 type Transition = {
@@ -88,22 +88,22 @@
 	version: number;
 	/** Orders that the endpoint had accepted before. */
 	expectedOrders: number;
-	/** The start of the endpoint that was told. */
+	/** Start time of the endpoint's incarnation that got the order. */
 	bornMs: number | undefined;
 	startedAt: number;
 	nextCheckAt: number;
 };
 
-/** Gives orders for weights. */
+/** Sends weight orders to endpoints. */
 export class WeightOrders {
 	readonly #settings: WeightOrdersSettings;
 	readonly #policy: Policy;
 	readonly #schedule: LoadSchedule;
 	readonly #loading = new Map<string, Transition>();
 	readonly #retryAt = new Map<string, number>();
-	/** Models that endpoints are just being told to load. */
+	/** Models by endpoint for which an order is being sent. */
 	readonly #ordering = new Map<string, string>();
-	/** By service. */
+	/** Model assignments by service. */
 	readonly #assignments = new Map<string, ModelAssignments>();
 	#lastOrderAt = Number.NEGATIVE_INFINITY;
 
@@ -118,7 +118,7 @@
 		return performance.now() - this.#lastOrderAt;
 	}
 
-	/** Learns of a published version; an older one than known is ignored. */
+	/** Records a published version; one that is older than the known one is ignored. */
 	publish(model: string, version: number): void {
 		this.#schedule.publish(model, version);
 		this.#settings.directory.loads.recordPublished(model, this.findPublished(model) ?? version);
@@ -134,7 +134,7 @@
 		return this.#schedule.versions;
 	}
 
-	/** Gives what orders are due and looks after those under way; to be called some times a second. */
+	/** Checks the orders in progress and sends the due ones; call it several times a second. */
 	tick(): void {
 		const {right, directory} = this.#settings;
 		if (!right.holds()) {
@@ -150,7 +150,7 @@
 		}
 	}
 
-	/** Which models each endpoint follows; those that leave follow none. */
+	/** Models assigned to each endpoint; draining endpoints have none. */
 	#findAssignments(endpoints: readonly RegisteredEndpoint[]): ReadonlyMap<string, readonly string[]> {
 		const {service} = endpoints[0]!;
 		const serving = endpoints.filter(({isDraining}) => !isDraining);
@@ -179,7 +179,7 @@
 		}, this.#policy.placement);
 	}
 
-	/** Logs which endpoints have changed their models. */
+	/** Logs the endpoints whose assigned model has changed. */
 	#logChanges(before: ReadonlyMap<string, readonly string[]> | undefined, assigned: ReadonlyMap<string, readonly string[]>): void {
 		const {directory, findNeeds, log} = this.#settings;
 		const demands = findNeeds?.();
@@ -193,7 +193,7 @@
 		}
 	}
 
-	/** Looks after orders under way. */
+	/** Finishes, abandons or checks the orders in progress. */
 	#checkOrders(endpoints: readonly RegisteredEndpoint[]): void {
 		const now = performance.now();
 		for (const endpoint of endpoints) {
@@ -236,7 +236,7 @@
 		if (isOpen && (isTaken || performance.now() - transition.startedAt < maxReportAgeMs)) {
 			this.#settings.directory.pause(endpoint.id, loadPauseMs);
 		} else if (isOpen) {
-			// Neither under way nor done: the order was not taken.
+			// The load is neither in progress nor done, so the endpoint has not taken the order.
 			this.#loading.delete(endpoint.id);
 			this.#announceLoad({endpoint: endpoint.id, model: transition.model, version: transition.version}, 0);
 			this.#retryAt.set(endpoint.id, performance.now() + retryMs);
@@ -280,7 +280,7 @@
 				const pending = this.#findPendingVersion(endpoint, (assigned.get(endpoint.id) ?? []).filter(model => dueModels.has(model) || this.#isTooOld(endpoint, model)));
 				return pending ? [{endpoint, pending}] : [];
 			})
-			// The oldest weights first: they hold up the most; then the least busy.
+			// Endpoints with the oldest weights come first, since they delay the most work; then the least busy ones.
 			.toSorted((a, b) => a.pending.from - b.pending.from || this.#settings.directory.countOpen(a.endpoint.id) - this.#settings.directory.countOpen(b.endpoint.id));
 		for (const {endpoint, pending} of due) {
 			if (free <= 0) {
@@ -299,28 +299,28 @@
 		}
 	}
 
-	/** Whether an endpoint can't serve what waits: steps admit one version back. It has nothing to wait for. */
+	/** Whether an endpoint is more than one version behind. Steps admit only the previous version, so it can't serve the waiting work and need not delay its load. */
 	#isTooOld({id}: RegisteredEndpoint, model: string): boolean {
 		return (this.#settings.directory.findVersion(id, model) ?? 0) < (this.#schedule.findVersion(model) ?? 0) - 1;
 	}
 
-	/** Models whose endpoints should load now. */
+	/** Models whose assigned endpoints should load now. */
 	#listDue(endpoints: readonly RegisteredEndpoint[], assigned: ReadonlyMap<string, readonly string[]>, maxLoading: number): Set<string> {
 		return new Set([...this.#schedule.versions].filter(([model, version]) => {
 			const followers = listFollowers(assigned, model);
 			const left = followers.filter(id => (this.#settings.directory.findVersion(id, model) ?? 0) < version).length;
-			// Of what the service may load at once a model has its part.
+			// A model's share of the service's concurrent loads is proportional to its assigned endpoints.
 			const part = Math.round(maxLoading * followers.length / Math.max(1, endpoints.length));
 			return left > 0 && this.#schedule.isDue({model, endpoints: left, width: Math.min(part, this.#findMaxLoading(followers.length))});
 		}).map(([model]) => model));
 	}
 
-	/** How many of the endpoints that follow a model may load it at once. */
+	/** Maximum number of the endpoints assigned to a model that may load it at once. */
 	#findMaxLoading(followers: number): number {
 		return this.#policy.staggersLoads ? Math.max(1, Math.floor(followers * modelLoadingFraction)) : followers;
 	}
 
-	/** Whether one more of the endpoints that follow a model may load it. */
+	/** Whether one more of the endpoints assigned to a model may load it. */
 	#mayLoad(model: string, assigned: ReadonlyMap<string, readonly string[]>): boolean {
 		const followers = listFollowers(assigned, model);
 		const loading = followers.filter(id => this.#loading.get(id)?.model === model || this.#ordering.get(id) === model).length;
@@ -339,7 +339,7 @@
 		return undefined;
 	}
 
-	/** Reads how many orders the endpoint has accepted, then gives the order on that condition. */
+	/** Reads how many orders the endpoint has accepted, then sends the order conditional on that count. */
 	async #sendOrder(endpoint: RegisteredEndpoint, model: string, version: number): Promise<void> {
 		const {right, client, holder, directory, log, chooseMode, orderRoomMs} = this.#settings;
 		const report = await this.#fetchReport(endpoint);
@@ -349,7 +349,7 @@
 			return;
 		}
 
-		// The lease may have lapsed while the report was on its way, and must not lapse while the order is.
+		// The lease may have lapsed while the report was in transit, and must not lapse while the order is.
 		const {fence} = right;
 		if (fence === 0 || !right.holds(orderRoomMs)) {
 			return;
@@ -371,7 +371,7 @@
 			});
 			this.#recordOutcome(endpoint, {model, version}, outcome);
 		} catch (error) {
-			// It may be carried out late; the report tells, and a repeat on the same condition does no harm.
+			// The order may still be executed late. The report shows it, and a repeat on the same condition is harmless.
 			log.warn('order_unanswered', {
 				endpoint: endpoint.id, model, version, reason: describeError(error),
 			});
@@ -380,7 +380,7 @@
 
 	#recordOutcome({id}: RegisteredEndpoint, pending: HeldModel, outcome: OrderOutcome): void {
 		if (outcome === 'misdirected') {
-			// Its registration names a server that is not there, so it would be asked again and again.
+			// Its registration points to a different server, so orders would fail again and again.
 			this.#settings.directory.recordMisdirected(id);
 		}
 
