--- /dev/null
+++ b/packages/direct/src/call-admission.ts
@@ -0,0 +1,127 @@
+/**
+ * Admits a call through the wait queue of its host: the call waits briefly for a slot or is refused early.
+ *
+ * Load pattern: a burst of calls reaches endpoints that queue a few requests and refuse the rest. Forwarded unchecked, the burst fills the endpoints' queues
+ * with calls that will be late anyway and displaces other calls; endpoints that have refused are then paused although their slots become free. A call therefore
+ * waits here for a fraction of its objective and is refused while it can still be served elsewhere. A score, which no other host would make, is sent anyway.
+ */
+import type {WorkKind} from '@wasabiusher/slots';
+import type {RegisteredEndpoint, Route} from '@wasabiusher/shared';
+import type {EndpointDirectory} from './endpoint-directory.js';
+import type {EndpointLine} from './endpoint-queue.js';
+
+/** Maximum wait of a call as a fraction of its objective: a call refused within a quarter of it can still be served elsewhere in time. */
+const maxWaitRatio = 0.2;
+
+/** Fraction of its objective after which a retried call is due, so that it precedes new calls. */
+const returnDueRatio = 0.5;
+
+/** Position of a request in the wait queue, for requests that don't wait as a caller's does. */
+export type CallPlace = {
+	kind: WorkKind;
+	urgency: number;
+	turn: string;
+	/** When the request is due, on the monotonic clock. */
+	dueAt: number;
+	rank?: number;
+	/** Maximum wait for a slot in milliseconds. Afterwards any endpoint may serve the request; a caller's own request is refused instead. */
+	patienceMs: number;
+};
+
+export type CallAdmissionSettings = {
+	directory: EndpointDirectory;
+	/** Wait queue for slots; undefined to send calls at once. */
+	line?: EndpointLine;
+};
+
+/** Properties of a call that its admission depends on. */
+export type AdmissionRequest = {attemptId: string; method: string; path: string; customer?: string; deadlineAt: number; place?: CallPlace};
+
+export type AdmissionOutcome = {kind: 'granted'; endpoint: RegisteredEndpoint} | {kind: 'refused'; reason: string; retryAfterMs: number} | {kind: 'none'};
+
+/** Admits one call. */
+export class CallAdmission {
+	readonly #settings: CallAdmissionSettings;
+	readonly #route: Route;
+	readonly #request: AdmissionRequest;
+	readonly #service: string;
+
+	constructor(settings: CallAdmissionSettings, route: Route, request: AdmissionRequest, service: string) {
+		this.#settings = settings;
+		this.#route = route;
+		this.#request = request;
+		this.#service = service;
+	}
+
+	/** Waits for an endpoint for the first attempt. */
+	async wait(signal: AbortSignal): Promise<AdmissionOutcome> {
+		const {line} = this.#settings;
+		if (!line) {
+			return this.#acquireNow();
+		}
+
+		const {attemptId, deadlineAt, place} = this.#request;
+		const now = performance.now();
+		const {patienceMs, ...position} = place ?? this.#findPosition(line, now);
+		const answer = await line.wait({
+			...position,
+			id: attemptId,
+			need: {service: this.#service, needsHeadroom: true},
+			weight: 1,
+			deadlineAt: Math.min(deadlineAt, now + patienceMs),
+			workMs: line.findWorkMs(this.#service),
+		}, signal);
+		if (answer.kind === 'left') {
+			return {kind: 'none'};
+		}
+
+		const final = answer.kind === 'expired' ? this.#acquireOrRefuse() : answer;
+		if (final.kind === 'refused') {
+			line.returns.note(this.#returnKey);
+		}
+
+		return final;
+	}
+
+	/** Acquires an endpoint for a further attempt without waiting; where calls queue, a caller's request needs one with headroom. */
+	acquire(excluded: ReadonlySet<string>): RegisteredEndpoint | undefined {
+		const {directory, line} = this.#settings;
+		const withHeadroom = line && directory.acquire({service: this.#service, excluded, needsHeadroom: true});
+		return withHeadroom ?? (line && !this.#request.place ? undefined : directory.acquire({service: this.#service, excluded}));
+	}
+
+	/** Records the service time of an attempt, in milliseconds. */
+	recordWork(workMs: number): void {
+		this.#settings.line?.recordWork(this.#service, workMs);
+	}
+
+	/** Position of a caller's request. A retry of a refused request precedes new ones and is not refused at once again. */
+	#findPosition(line: EndpointLine, now: number): CallPlace & {isRefusable: boolean} {
+		const {objectiveMs, priority, name} = this.#route;
+		const isReturning = line.returns.take(this.#returnKey);
+		return {
+			kind: 'call', urgency: priority, turn: this.#request.customer ?? name, isRefusable: !isReturning, patienceMs: maxWaitRatio * objectiveMs,
+			dueAt: now + ((isReturning ? returnDueRatio : 1) * objectiveMs),
+		};
+	}
+
+	/** Identifies the request across retries of its caller. */
+	get #returnKey(): string {
+		const {customer, method, path} = this.#request;
+		return [customer, method, path].join(' ');
+	}
+
+	#acquireNow(): AdmissionOutcome {
+		const endpoint = this.acquire(new Set());
+		return endpoint ? {kind: 'granted', endpoint} : {kind: 'none'};
+	}
+
+	/** Result for a call whose maximum wait has passed: an endpoint if one is eligible, otherwise a refusal for a caller's request. */
+	#acquireOrRefuse(): AdmissionOutcome {
+		const {directory} = this.#settings;
+		const granted = this.#acquireNow();
+		return granted.kind === 'granted' || this.#request.place
+			? granted
+			: {kind: 'refused', reason: 'no slot became free in time', retryAfterMs: directory.planRetryAfterMs(this.#service)};
+	}
+}
--- a/packages/direct/src/sample-run.ts
+++ b/packages/direct/src/sample-run.ts
@@ -1,8 +1,8 @@
 /**
- * Makes the text of one sample: gathers events with the version of each, and goes on elsewhere when a run breaks.
+ * Generates the text of one sample: collects events with their weight versions, and resumes at another endpoint when a run breaks.
  *
- * Load pattern: endpoints that crash, leave, load weights or break answers off in the middle of long texts. Begun
- * anew each time, a text of seven seconds would miss its step; resumed after its last whole event it loses only a round trip.
+ * Load pattern: endpoints crash, leave, load weights or break off answers in the middle of long generations. A generation of seven seconds that restarts
+ * each time would miss its step; resumed after its last complete event it loses only a round trip.
  */
 import {longRunEvents} from '@wasabiusher/decisions';
 import {
@@ -12,39 +12,39 @@
 	describeError, type Log, type RegisteredEndpoint, type Route,
 } from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
-import type {EndpointNeed} from './endpoint-need.js';
-import type {EndpointLine} from './endpoint-line.js';
+import type {EndpointRequirement} from './endpoint-requirement.js';
+import type {EndpointLine} from './endpoint-queue.js';
 import {PhaseTimes, type RunPhase} from './phase-times.js';
 import {RestartWatch} from './restart-watch.js';
 import {findUrgency, SampleSearch} from './sample-search.js';
 import {SilenceWatch} from './silence-watch.js';
 
-/** What a sample asks of the endpoints. */
+/** The request for one sample. */
 export type SampleRequest = {
-	/** Names the sample; each of its runs carries it. */
+	/** Id of the sample; each of its runs carries it. */
 	id: string;
-	/** Names its batch in logs. */
+	/** Id of its batch, for logs. */
 	batch?: string;
 	model: string | undefined;
-	/** Oldest version of the weights that may make its text. */
+	/** Oldest weight version that may generate it. */
 	leastVersion: number;
 	isSingleVersion: boolean;
-	/** Names the prompt that samples of a group share. */
+	/** Key of the prompt that the samples of a group share. */
 	group: string | undefined;
 	request: Omit<ServingRequest, 'remainingMs' | 'resumeAfter' | 'expectVersion' | 'attemptId'>;
-	/** When the sample may be given up, on the monotonic clock. */
+	/** When the sample expires, on the monotonic clock. */
 	deadlineAt: number;
-	/** Whether its runs keep away from endpoints whose slots are all taken by what is known, so that they hold up nothing. */
+	/** Whether its runs avoid endpoints whose slots are all taken by their known load, so that they delay no other work. */
 	avoidsFull?: boolean;
-	/** Its place in the line: whose turn it uses, when it should be done on the monotonic clock, and its place among those due at the same time. */
+	/** Its position in the wait queue: its flow for fair queueing, when it is due on the monotonic clock, and its rank among waiters due at the same time. */
 	place?: {turn: string; dueAt: number; rank: number};
-	/** When it should be whole, on the monotonic clock; undefined if nobody told. */
+	/** When it should be complete, on the monotonic clock; undefined if unknown. */
 	dueAt?: number;
-	/** Events that are expected still once it has so many; undefined if nobody knows. */
+	/** Expected number of remaining events after `made` events; undefined if unknown. */
 	expectLeft?(made: number): number | undefined;
 };
 
-/** Text made so far, with the versions that made it. */
+/** The text generated so far, with the weight versions that generated it. */
 export type SampleText = {
 	/** Data of each event, in order; the event ids count from 1. */
 	events: string[];
@@ -52,10 +52,10 @@
 };
 
 /**
- * - `made`: the text is whole
- * - `impossible`: an endpoint said that it can never be done
- * - `failed`: endpoints have failed it as often as the route allows
- * - `expired`: its time is up
+ * - `made`: the text is complete
+ * - `impossible`: an endpoint answered that the sample can never be generated
+ * - `failed`: the route's maximum number of failed attempts is reached, or the route was removed
+ * - `expired`: the deadline has passed
  * - `stopped`: its batch has ended or has another owner
  */
 export type SampleOutcome = {kind: 'made'; text: SampleText} | {kind: 'impossible' | 'failed' | 'expired' | 'stopped'};
@@ -64,34 +64,34 @@
 	directory: EndpointDirectory;
 	client: ServingClient;
 	log: Log;
-	/** Where it waits for an endpoint; undefined if it looks for one by itself. */
+	/** Wait queue for slots; undefined if the sample polls for an endpoint itself. */
 	line?: EndpointLine;
-	/** The route in force for the sample's batch; undefined once it was removed. */
+	/** The current route of the sample's batch; undefined once it was removed. */
 	findRoute(): Route | undefined;
-	/** Endpoints to be used before others; undefined if all are alike. */
+	/** Dedicated endpoints, which are used before others; undefined if all are equal. */
 	findHomes?(): ReadonlySet<string> | undefined;
-	/** A number in [0, 1). */
+	/** Returns a random number in [0, 1). */
 	chance(): number;
 };
 
-/** Events of a run from which, and after which again, its mean pace is told: it differs by less than a twentieth then. */
-const paceEvents = 20;
+/** Number of events between two records of a run's mean pace; over so many the mean differs by less than a twentieth. */
+const paceReportEvents = 20;
 
-/** Pause after an endpoint refused or broke, in milliseconds, so that a failing one is not asked in a tight loop. */
-const pauseMs = 20;
+/** Pause after a broken run, in milliseconds, so that a failing endpoint isn't retried in a tight loop. */
+const retryPauseMs = 20;
 
-/** Status of a sample that can never be done. */
+/** HTTP status for a sample that can never be generated. */
 const impossibleStatus = 422;
 
-/** Longest silence of a run before it is given up and resumed elsewhere, in milliseconds; loading weights takes about a second. */
+/** Maximum silence of a run before it is resumed at another endpoint, in milliseconds; loading weights takes about a second. */
 export const silenceMs = 4000;
 
 type RunStep = 'again' | SampleOutcome;
 
-/** A run that has begun at an endpoint. */
+/** A run in progress at an endpoint. */
 type OpenRun = {id: string; run: ServingRun; route: Route; watch: SilenceWatch};
 
-/** Runs one sample; `run` is called once. */
+/** Runs one sample; call `run` once. */
 export class SampleRun {
 	readonly #settings: SampleRunSettings;
 	readonly #sample: SampleRequest;
@@ -99,23 +99,23 @@
 	readonly #text: SampleText;
 	readonly #startedAt = performance.now();
 	readonly #times = new PhaseTimes();
-	/** Events that the text had when it came here. */
-	readonly #keptEvents: number;
+	/** Number of events that an earlier owner had already generated. */
+	readonly #inheritedEvents: number;
 	#failures = 0;
 	#runs = 0;
 	readonly #search: SampleSearch;
-	/** Events that were expected of the text when it came here; undefined if nobody knew. */
+	/** Number of events expected at the first search for an endpoint; undefined if unknown. */
 	#expectedEvents: number | undefined;
-	/** What the present attempt was chosen by. */
-	#need: EndpointNeed | undefined;
-	/** The endpoint that broke last; another is preferred. */
+	/** Requirements that the current endpoint was chosen by. */
+	#requirement: EndpointRequirement | undefined;
+	/** The endpoint that the last run left, by a failure, a refusal or a move; another is preferred. */
 	#avoided: string | undefined;
-	/** The endpoint for which the last run was left; it counts as open there already. */
-	#better: RegisteredEndpoint | undefined;
+	/** The endpoint that the last run moves to; the next run already counts as open there. */
+	#nextEndpoint: RegisteredEndpoint | undefined;
 
 	/**
-	 * @param signal - aborts when the sample is no longer wanted here
-	 * @param text - what an earlier owner has kept of its text
+	 * @param signal - aborts when this process no longer needs the sample
+	 * @param text - the retained text of an earlier owner
 	 */
 	constructor(settings: SampleRunSettings, sample: SampleRequest, signal: AbortSignal, text?: SampleText) {
 		this.#settings = settings;
@@ -123,18 +123,18 @@
 		this.#signal = signal;
 		this.#search = new SampleSearch(settings, sample, signal);
 		this.#text = text ?? {events: [], versions: new Set()};
-		this.#keptEvents = this.#text.events.length;
+		this.#inheritedEvents = this.#text.events.length;
 	}
 
-	/** What has been made so far; changes while `run` goes on. */
+	/** The text generated so far; grows while `run` is in progress. */
 	get text(): SampleText {
 		return this.#text;
 	}
 
-	/** Runs until the text is whole or can't be. Never rejects. */
+	/** Runs until the text is complete or can't be completed. Never rejects. */
 	async run(): Promise<SampleOutcome> {
 		const outcome = await this.#runToEnd();
-		this.#leaveBetter();
+		this.#releaseNext();
 		return outcome;
 	}
 
@@ -150,9 +150,9 @@
 			}
 
 			// eslint-disable-next-line no-await-in-loop
-			const endpoint = this.#better ?? await this.#findEndpoint(route);
-			this.#better = undefined;
-			// Each run goes on where the one before has broken.
+			const endpoint = this.#nextEndpoint ?? await this.#findEndpoint(route);
+			this.#nextEndpoint = undefined;
+			// Each run resumes where the previous one broke off.
 			// eslint-disable-next-line no-await-in-loop
 			const step = endpoint ? await this.#runAt(endpoint, route) : 'again';
 			if (step !== 'again') {
@@ -170,22 +170,22 @@
 
 	async #findEndpoint(route: Route): Promise<RegisteredEndpoint | undefined> {
 		const [begun] = this.#text.versions;
-		const {need, endpoint, isVersionLost} = await this.#search.find(route, begun, this.#avoided, () => this.#expect());
-		this.#need = need;
-		this.#expectedEvents ??= need.units;
+		const {requirement, endpoint, isVersionLost} = await this.#search.find(route, begun, this.#avoided, () => this.#estimateRemaining());
+		this.#requirement = requirement;
+		this.#expectedEvents ??= requirement.units;
 		this.#times.mark('waited');
 		if (isVersionLost) {
-			this.#beginAnew();
+			this.#discardText();
 		}
 
 		return endpoint;
 	}
 
-	/** Gives up what was taken for a run that does not come. */
-	#leaveBetter(): void {
-		if (this.#better) {
-			this.#settings.directory.release(this.#better.id);
-			this.#better = undefined;
+	/** Releases the acquired endpoint if no run will use it. */
+	#releaseNext(): void {
+		if (this.#nextEndpoint) {
+			this.#settings.directory.release(this.#nextEndpoint.id);
+			this.#nextEndpoint = undefined;
 		}
 	}
 
@@ -197,7 +197,7 @@
 		return this.#text.events.length > 0 ? 'resumed' : 'begun';
 	}
 
-	#beginAnew(): void {
+	#discardText(): void {
 		this.#text.events.length = 0;
 		this.#text.versions.clear();
 	}
@@ -212,15 +212,15 @@
 		const startedAt = performance.now();
 		let headMs: number | undefined;
 		let status: number | undefined;
-		const watch = new SilenceWatch(stop, () => directory.findHeardAt(id));
+		const watch = new SilenceWatch(stop, () => directory.findLastReceivedAt(id));
 		this.#runs += 1;
 		try {
-			const run = await client.run(endpoint, this.#toServing(route), signal);
+			const run = await client.run(endpoint, this.#toServingRequest(route), signal);
 			headMs = Math.round(performance.now() - startedAt);
 			({status} = run);
 			this.#times.mark(this.#findHeadPhase(run));
 			directory.recordHead(id, run, this.#sample.model);
-			watch.note();
+			watch.recordReceived();
 			return await this.#readRun({
 				id, run, route, watch,
 			});
@@ -249,7 +249,7 @@
 				batch: this.#sample.batch, sample: this.#sample.id, model: this.#sample.model, endpoint: id, status, from: before, events: this.#text.events.length, headMs,
 				tookMs: Math.round(performance.now() - startedAt),
 			});
-			// Ends a run that is not read to its end.
+			// Cancels a run that was not read to its end.
 			stop.abort();
 			directory.release(id);
 		}
@@ -259,7 +259,7 @@
 		const {directory, log} = this.#settings;
 		const {model} = this.#sample;
 		if (run.isNotRun) {
-			return this.#noteRefusal(id, run);
+			return this.#recordRefusal(id, run);
 		}
 
 		if (run.status === impossibleStatus) {
@@ -285,20 +285,20 @@
 		}
 
 		if (!run.isFramed) {
-			// It may have broken off; a resumed run tells whether something is missing.
+			// The run may have broken off; a resumed run shows whether events are missing.
 			log.info('run_unframed', {sample: this.#sample.id, endpoint: id, events: this.#text.events.length});
 			return 'again';
 		}
 
 		log.info('text_made', {
-			batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, events: this.#text.events.length, kept: this.#keptEvents, runs: this.#runs,
+			batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, events: this.#text.events.length, kept: this.#inheritedEvents, runs: this.#runs,
 			expected: this.#expectedEvents && Math.round(this.#expectedEvents), versions: [...this.#text.versions].join(','),
-			tookMs: Math.round(performance.now() - this.#startedAt), ...this.#times.toValues(),
+			tookMs: Math.round(performance.now() - this.#startedAt), ...this.#times.toLogFields(),
 		});
 		return {kind: 'made', text: this.#text};
 	}
 
-	#noteRefusal(id: string, run: ServingRun): RunStep {
+	#recordRefusal(id: string, run: ServingRun): RunStep {
 		const {directory} = this.#settings;
 		this.#avoided = id;
 		if (run.status === 421 && run.weightVersion === undefined) {
@@ -308,7 +308,7 @@
 		return 'again';
 	}
 
-	/** Reads the run to its end; false if it is left in its middle for a faster endpoint. */
+	/** Reads the run to its end; false if the sample moves to a better endpoint before that. */
 	async #readEvents(id: string, run: ServingRun, watch: SilenceWatch): Promise<boolean> {
 		const {directory, log} = this.#settings;
 		const from = this.#text.events.length;
@@ -316,9 +316,9 @@
 		let version = run.weightVersion;
 		let lastAt = performance.now();
 		for await (const event of run.events) {
-			this.#takeEvent(event);
+			this.#appendEvent(event);
 			this.#times.markEvent();
-			watch.note();
+			watch.recordReceived();
 			const now = performance.now();
 			directory.recordPace(id, now - lastAt);
 			lastAt = now;
@@ -329,14 +329,14 @@
 			}
 
 			const count = this.#text.events.length - from;
-			if (count % paceEvents === 0) {
+			if (count % paceReportEvents === 0) {
 				directory.recordRunPace(id, (now - firstAt) / (count - 1));
 			}
 
-			this.#better = this.#takeBetter(id, count);
-			if (this.#better) {
+			this.#nextEndpoint = this.#acquireBetter(id, count);
+			if (this.#nextEndpoint) {
 				log.info('run_moved', {
-					batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, to: this.#better.id, events: this.#text.events.length,
+					batch: this.#sample.batch, sample: this.#sample.id, endpoint: id, to: this.#nextEndpoint.id, events: this.#text.events.length,
 				});
 				this.#avoided = id;
 				return false;
@@ -346,25 +346,25 @@
 		return true;
 	}
 
-	/** What is expected of the text from now on. */
-	#expect(): Pick<EndpointNeed, 'units' | 'dueInMs'> {
+	/** Expected remaining events, and time until the sample is due. */
+	#estimateRemaining(): Pick<EndpointRequirement, 'units' | 'dueInMs'> {
 		const {expectLeft, dueAt} = this.#sample;
 		return {units: expectLeft?.(this.#text.events.length), dueInMs: dueAt === undefined ? undefined : dueAt - performance.now()};
 	}
 
-	#takeBetter(id: string, madeHere: number): RegisteredEndpoint | undefined {
+	#acquireBetter(id: string, madeHere: number): RegisteredEndpoint | undefined {
 		const {directory} = this.#settings;
-		if (!this.#need) {
+		if (!this.#requirement) {
 			return undefined;
 		}
 
-		const {units, dueInMs} = this.#expect();
+		const {units, dueInMs} = this.#estimateRemaining();
 		return units === undefined
-			? directory.takeBetter(id, this.#need, madeHere >= longRunEvents)
-			: directory.takeFaster(id, {...this.#need, units, dueInMs}, madeHere);
+			? directory.acquireBetter(id, this.#requirement, madeHere >= longRunEvents)
+			: directory.acquireFaster(id, {...this.#requirement, units, dueInMs}, madeHere);
 	}
 
-	#takeEvent({id, data, version}: RunEvent): void {
+	#appendEvent({id, data, version}: RunEvent): void {
 		const {leastVersion, isSingleVersion} = this.#sample;
 		const {events, versions} = this.#text;
 		if (id !== events.length + 1) {
@@ -372,19 +372,19 @@
 		}
 
 		if (version < leastVersion) {
-			throw new PlatformError('invalid', `made by version ${version}, older than ${leastVersion}`);
+			throw new PlatformError('invalid', `event of version ${version}, expected ${leastVersion} or newer`);
 		}
 
 		if (isSingleVersion && versions.size > 0 && !versions.has(version)) {
-			this.#beginAnew();
-			throw new PlatformError('invalid', `version ${version} began within a text that must have one version`);
+			this.#discardText();
+			throw new PlatformError('invalid', `event of version ${version} in a text that must have a single version`);
 		}
 
 		events.push(data);
 		versions.add(version);
 	}
 
-	#toServing(route: Route): ServingRequest {
+	#toServingRequest(route: Route): ServingRequest {
 		const {id, request, deadlineAt} = this.#sample;
 		const {events} = this.#text;
 		return {
@@ -398,7 +398,7 @@
 
 	async #pause(): Promise<void> {
 		await new Promise<void>(resolve => {
-			setTimeout(resolve, pauseMs);
+			setTimeout(resolve, retryPauseMs);
 		});
 	}
 }
--- a/packages/direct/src/stream-call.ts
+++ b/packages/direct/src/stream-call.ts
@@ -1,50 +1,50 @@
 /**
- * A caller's request whose answer is handed on as it comes.
+ * Runs a caller's request whose answer is streamed to the caller.
  *
- * Only attempts that are proven not run are repeated, unless the route says that a stream may be resumed: then it goes on after
- * its last whole event at another endpoint, within the same answer.
+ * Only attempts that are proven not to have run are repeated. On a route with resumable streams, a broken stream also resumes after
+ * its last complete event at another endpoint, within the same answer.
  */
 import type {ServingRequest, ServingStream} from '@wasabiusher/backends';
 import {describeError, type RegisteredEndpoint, type Route} from '@wasabiusher/shared';
 import {
 	chooseService, isProvenNotRun, type CallOutcome, type CallerRequest, type CallSettings,
 } from './call.js';
-import {crasherReason, noteBrokenAttempt} from './crash-watch.js';
-import {CallTurn, type TurnAnswer} from './call-turn.js';
+import {poisonRequestReason, recordBrokenAttempt} from './poison-requests.js';
+import {CallAdmission, type AdmissionOutcome} from './call-admission.js';
 import {resumeStream} from './resumed-stream.js';
 import {BegunRuns} from './run-meter.js';
 import {RestartWatch} from './restart-watch.js';
 import {SilenceWatch} from './silence-watch.js';
 
-/** The beginning of a streamed answer, or why there is none. */
+/** The head and body of a streamed answer, or why there is none. Call `release` when the body has ended. */
 export type StreamOutcome = {kind: 'opened'; stream: ServingStream; endpoint: string; release(): void} | Exclude<CallOutcome, {kind: 'answered'}>;
 
-/** An attempt that has begun at an endpoint. */
+/** An attempt in progress at an endpoint. */
 type OpenAttempt = {endpoint: RegisteredEndpoint; stream: ServingStream};
 
-/** Opens one streamed answer; `open` is called once. */
+/** Opens one streamed answer; call `open` once. */
 export class StreamCall {
 	readonly #settings: CallSettings;
 	readonly #route: Route;
 	readonly #request: CallerRequest;
 	readonly #signal: AbortSignal;
 	readonly #service: string;
-	/** Endpoints that are not asked again. */
+	/** Endpoints that were tried already. */
 	readonly #excluded = new Set<string>();
-	/** Runs that have begun, or may have. */
-	#begun = 0;
-	/** The same by endpoint, as they count for the customer. */
+	/** Number of runs that have begun or may have begun. */
+	#begunCount = 0;
+	/** Endpoints that may have begun to run the request, counted for the customer. */
 	readonly #runs: BegunRuns;
-	/** Where it runs at present. */
-	#endpoint: string | undefined;
+	/** The endpoint of the current attempt. */
+	#currentEndpoint: string | undefined;
 	#restart: RestartWatch | undefined;
 	#lastReason = 'no endpoint is registered';
-	readonly #turn: CallTurn;
+	readonly #admission: CallAdmission;
 	#hasWaited = false;
-	/** Aborts when the caller waits no longer for the beginning. */
+	/** Aborts when the answer has not begun by the caller's deadline. */
 	readonly #deadline = new AbortController();
 
-	/** @param signal - aborts when the caller has left */
+	/** @param signal - aborts when the caller has disconnected */
 	constructor(settings: CallSettings, route: Route, request: CallerRequest, signal: AbortSignal) {
 		this.#settings = settings;
 		this.#route = route;
@@ -52,20 +52,20 @@
 		this.#signal = signal;
 		this.#service = chooseService(route, settings.random.next());
 		this.#runs = new BegunRuns(request.customer, settings.meter);
-		this.#turn = new CallTurn(settings, route, request, this.#service);
+		this.#admission = new CallAdmission(settings, route, request, this.#service);
 	}
 
 	async open(): Promise<StreamOutcome> {
 		const refusalMs = this.#settings.crashers?.findRefusalMs(this.#request);
 		if (refusalMs !== undefined) {
-			return {kind: 'not-run', reason: crasherReason, retryAfterMs: refusalMs};
+			return {kind: 'not-run', reason: poisonRequestReason, retryAfterMs: refusalMs};
 		}
 
 		const timer = setTimeout(() => {
 			this.#deadline.abort();
 		}, Math.max(0, this.#request.deadlineAt - performance.now()));
 		const outcome = await this.#attemptAll(this.#request.resumeAfter);
-		// What has begun in time may go on.
+		// An answer that has begun in time may take longer than the deadline.
 		clearTimeout(timer);
 		if ('kind' in outcome) {
 			return outcome;
@@ -85,36 +85,36 @@
 		};
 	}
 
-	/** Goes on after an event; undefined if no endpoint can. */
+	/** Resumes the stream after an event at another endpoint; undefined if none can. */
 	async #reopen(after: number | undefined): Promise<ServingStream | undefined> {
-		if (this.#endpoint !== undefined && !this.#restart?.hasRestarted) {
-			this.#settings.directory.recordFailure(this.#endpoint);
+		if (this.#currentEndpoint !== undefined && !this.#restart?.hasRestarted) {
+			this.#settings.directory.recordFailure(this.#currentEndpoint);
 		}
 
 		this.#release();
-		const mayAsk = this.#begun < this.#route.maxAttempts && performance.now() < this.#request.deadlineAt;
+		const mayAsk = this.#begunCount < this.#route.maxAttempts && performance.now() < this.#request.deadlineAt;
 		const outcome = mayAsk ? await this.#attemptAll(after) : undefined;
 		if (!outcome || 'kind' in outcome) {
 			return undefined;
 		}
 
-		// The answer has begun as a success; another endpoint's failure can't follow.
+		// The caller has already received a successful head, so a failure can't be passed on.
 		return outcome.stream.status === 200 ? outcome.stream : undefined;
 	}
 
-	/** Asks one endpoint after the other until one begins. */
+	/** Tries one endpoint after another until one begins to answer. */
 	async #attemptAll(after: number | undefined): Promise<OpenAttempt | Exclude<StreamOutcome, {kind: 'opened'}>> {
 		while (!this.#signal.aborted && !this.#deadline.signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
-			const turn = await this.#take();
+			const turn = await this.#acquire();
 			if (turn.kind !== 'granted') {
-				return this.#refuse(turn);
+				return this.#toRefusal(turn);
 			}
 
 			const {endpoint} = turn;
-			this.#endpoint = endpoint.id;
+			this.#currentEndpoint = endpoint.id;
 			this.#excluded.add(endpoint.id);
-			// An attempt depends on what became of the one before.
+			// Each attempt depends on the outcome of the previous one.
 			// eslint-disable-next-line no-await-in-loop
 			const outcome = await this.#attempt(endpoint, after);
 			if (outcome) {
@@ -127,48 +127,48 @@
 		return this.#conclude();
 	}
 
-	/** What to tell a caller that has left, or waits no longer. */
+	/** The outcome for a caller that has disconnected or whose deadline has passed. */
 	#conclude(): Exclude<StreamOutcome, {kind: 'opened'}> {
 		return this.#signal.aborted ? {kind: 'stopped'} : {kind: 'timeout', hasSent: this.#runs.size > 0};
 	}
 
-	/** Only the first attempt waits for its turn. */
-	async #take(): Promise<TurnAnswer> {
+	/** Acquires an endpoint; only the first attempt waits in the queue. */
+	async #acquire(): Promise<AdmissionOutcome> {
 		if (!this.#hasWaited) {
 			this.#hasWaited = true;
-			return this.#turn.wait(AbortSignal.any([this.#signal, this.#deadline.signal]));
+			return this.#admission.wait(AbortSignal.any([this.#signal, this.#deadline.signal]));
 		}
 
-		const endpoint = this.#turn.take(this.#excluded);
+		const endpoint = this.#admission.acquire(this.#excluded);
 		return endpoint ? {kind: 'granted', endpoint} : {kind: 'none'};
 	}
 
-	#refuse(turn: Exclude<TurnAnswer, {kind: 'granted'}>): Exclude<StreamOutcome, {kind: 'opened'}> {
+	#toRefusal(turn: Exclude<AdmissionOutcome, {kind: 'granted'}>): Exclude<StreamOutcome, {kind: 'opened'}> {
 		if (this.#signal.aborted || this.#deadline.signal.aborted) {
 			return this.#conclude();
 		}
 
 		return turn.kind === 'refused'
 			? {kind: 'not-run', reason: turn.reason, retryAfterMs: turn.retryAfterMs}
-			: {kind: 'not-run', reason: this.#lastReason, retryAfterMs: this.#settings.directory.planReturn(this.#service)};
+			: {kind: 'not-run', reason: this.#lastReason, retryAfterMs: this.#settings.directory.planRetryAfterMs(this.#service)};
 	}
 
-	/** Asks one endpoint; undefined if it has proven that nothing has run there. */
+	/** Makes an attempt at one endpoint; undefined if another endpoint may be tried. */
 	async #attempt(endpoint: RegisteredEndpoint, after: number | undefined): Promise<OpenAttempt | Exclude<StreamOutcome, {kind: 'opened'}> | undefined> {
 		const {client, directory, log} = this.#settings;
 		const {id} = endpoint;
 		const stop = new AbortController();
 		const restart = new RestartWatch(directory, id);
 		this.#restart = restart;
-		const watch = this.#route.isResumable ? new SilenceWatch(stop, () => directory.findHeardAt(id)) : undefined;
+		const watch = this.#route.isResumable ? new SilenceWatch(stop, () => directory.findLastReceivedAt(id)) : undefined;
 		try {
 			this.#runs.add(id);
-			const stream = await client.open(endpoint, this.#toServing(after), AbortSignal.any([this.#signal, this.#deadline.signal, stop.signal, restart.signal]));
+			const stream = await client.open(endpoint, this.#toServingRequest(after), AbortSignal.any([this.#signal, this.#deadline.signal, stop.signal, restart.signal]));
 			directory.recordHead(id, stream);
 			if (!stream.isNotRun) {
-				this.#begun += 1;
-				const body = this.#tellEnd(id, stream.body, restart);
-				return {endpoint, stream: {...stream, body: watch ? watchBody(body, watch) : body}};
+				this.#begunCount += 1;
+				const body = this.#reportEnd(id, stream.body, restart);
+				return {endpoint, stream: {...stream, body: watch ? watchSilence(body, watch) : body}};
 			}
 
 			watch?.end();
@@ -188,14 +188,14 @@
 				directory.recordFailure(id);
 			}
 
-			this.#noteBroken(id, error, restart);
+			this.#recordBroken(id, error, restart);
 			if (isProvenNotRun(error)) {
 				this.#runs.delete(id);
 				return undefined;
 			}
 
-			this.#begun += 1;
-			if (this.#route.isResumable && this.#begun < this.#route.maxAttempts) {
+			this.#begunCount += 1;
+			if (this.#route.isResumable && this.#begunCount < this.#route.maxAttempts) {
 				return undefined;
 			}
 
@@ -204,19 +204,19 @@
 		}
 	}
 
-	#noteBroken(endpoint: string, error: unknown, {hasRestarted}: RestartWatch): void {
-		noteBrokenAttempt(this.#settings.crashers, {
+	#recordBroken(endpoint: string, error: unknown, {hasRestarted}: RestartWatch): void {
+		recordBrokenAttempt(this.#settings.crashers, {
 			endpoint, request: this.#request, isNotRun: isProvenNotRun(error), hasRestarted,
 		});
 	}
 
-	/** Hands a body on and tells how it ended: only a whole one shows that the request crashes nothing. */
-	async * #tellEnd(id: string, body: AsyncIterable<Uint8Array>, restart: RestartWatch): AsyncIterable<Uint8Array> {
+	/** Passes a body on and reports how it ended: only a complete body shows that the request isn't poison. */
+	async * #reportEnd(id: string, body: AsyncIterable<Uint8Array>, restart: RestartWatch): AsyncIterable<Uint8Array> {
 		try {
 			yield * body;
 		} catch (error) {
 			if (!this.#signal.aborted) {
-				this.#noteBroken(id, error, restart);
+				this.#recordBroken(id, error, restart);
 			}
 
 			throw error;
@@ -227,23 +227,23 @@
 
 	#release(): void {
 		this.#restart?.end();
-		if (this.#endpoint !== undefined) {
-			this.#settings.directory.release(this.#endpoint);
-			this.#endpoint = undefined;
+		if (this.#currentEndpoint !== undefined) {
+			this.#settings.directory.release(this.#currentEndpoint);
+			this.#currentEndpoint = undefined;
 		}
 	}
 
-	#toServing(after: number | undefined): ServingRequest {
+	#toServingRequest(after: number | undefined): ServingRequest {
 		const {deadlineAt, place, ...request} = this.#request;
 		return {...request, remainingMs: Math.max(1, Math.round(deadlineAt - performance.now())), ...(after === undefined ? {} : {resumeAfter: after})};
 	}
 }
 
-/** Hands a body on and tells the watch of each piece. */
-async function * watchBody(body: AsyncIterable<Uint8Array>, watch: SilenceWatch): AsyncIterable<Uint8Array> {
+/** Passes a body on and reports each chunk to the silence watch. */
+async function * watchSilence(body: AsyncIterable<Uint8Array>, watch: SilenceWatch): AsyncIterable<Uint8Array> {
 	try {
 		for await (const chunk of body) {
-			watch.note();
+			watch.recordReceived();
 			yield chunk;
 		}
 	} finally {
