--- a/packages/batches/__tests__/host-registry.spec.ts
+++ b/packages/batches/__tests__/host-registry.spec.ts
@@ -221,7 +221,7 @@
 		expect(store.counts.commits - before).to.be.within(1, 120);
 	});
 
-	it('goes on with heartbeats while one of them is left without an answer', async () => {
+	it('continues sending heartbeats while one of them is unanswered', async () => {
 		const view = store.createView();
 		createRegistry('a', true, {rows: view});
 		await clock.tickAsync(1000);
--- a/packages/batches/src/host-registry.ts
+++ b/packages/batches/src/host-registry.ts
@@ -36,7 +36,7 @@
 /** Silence after which an owner's work is taken over, in milliseconds: two heartbeats and twice the latency of a store that is eighty times slower than usual. */
 const maxOwnerSilenceMs = 1700;
 
-/** Time without contact with the store after which all silences are counted anew, in milliseconds: its longest regular wait and a slow answer. */
+/** Time without contact with the store after which the silence of every process is counted from zero, in milliseconds: its longest regular wait and a slow answer. */
 const maxContactGapMs = 2200;
 
 /**
--- a/packages/batches/src/share-owner.ts
+++ b/packages/batches/src/share-owner.ts
@@ -397,7 +397,7 @@
 		return this.#policy.plansTexts && !isRegeneration
 			? {
 				dueAt: dueMs === undefined ? undefined : this.#acceptedAt + (generationFraction * dueMs),
-				expectLeft: made => this.#settings.lengths.expectLeft(this.#findLengthsKey(sample), sample.expectedTokens, made),
+				expectLeft: generatedCount => this.#settings.lengths.expectLeft(this.#findLengthsKey(sample), sample.expectedTokens, generatedCount),
 			}
 			: {};
 	}
