--- a/packages/decisions/__tests__/commit-order.spec.ts
+++ b/packages/decisions/__tests__/commit-order.spec.ts
@@ -19,19 +19,19 @@
 }
 
 describe('commit order', () => {
-	const lacking = new Map([['a', 3], ['b', 2], ['c', 4]]);
+	const missing = new Map([['a', 3], ['b', 2], ['c', 4]]);
 
 	it('commits groups that become complete before older results of incomplete groups', () => {
 		const waiting = createResults('a', 'c', 'b', 'a', 'b');
-		const planned = planCommit(waiting, lacking, {results: 2, bytes: 1000});
+		const planned = planCommit(waiting, missing, {results: 2, bytes: 1000});
 		expect(planned.map(({group}) => group)).to.deep.equal(['b', 'b']);
-		expect(countCompleted(planned, lacking)).to.equal(1);
-		expect(planCommit(waiting, lacking, {results: 9, bytes: 1000}).map(({group}) => group)).to.deep.equal(['b', 'b', 'a', 'a', 'c']);
+		expect(countCompleted(planned, missing)).to.equal(1);
+		expect(planCommit(waiting, missing, {results: 9, bytes: 1000}).map(({group}) => group)).to.deep.equal(['b', 'b', 'a', 'a', 'c']);
 	});
 
 	it('stays within the bytes of a transaction, but takes one result of any size', () => {
-		expect(planCommit(createResults('a', 'a', 'a'), lacking, {results: 9, bytes: 250})).to.have.length(2);
-		expect(planCommit(createResults('a', 'a', 'a'), lacking, {results: 9, bytes: 50})).to.have.length(1);
+		expect(planCommit(createResults('a', 'a', 'a'), missing, {results: 9, bytes: 250})).to.have.length(2);
+		expect(planCommit(createResults('a', 'a', 'a'), missing, {results: 9, bytes: 50})).to.have.length(1);
 	});
 
 	it('prefers a list that completes a group, then the more urgent one, then the step that is closest to completion, then the oldest', () => {
--- a/packages/decisions/__tests__/concurrency-limit.spec.ts
+++ b/packages/decisions/__tests__/concurrency-limit.spec.ts
@@ -2,7 +2,7 @@
 import {ConcurrencyLimit, LaggingLoad} from '../src/index.js';
 
 /** Runs a limit against an endpoint whose latency grows when more than `capacity` requests run. */
-function drive(limit: ConcurrencyLimit, capacity: number, from: number, rounds: number): void {
+function runRequests(limit: ConcurrencyLimit, capacity: number, from: number, rounds: number): void {
 	let now = from;
 	for (let i = 0; i < rounds; i++) {
 		const inFlight = limit.limit;
@@ -15,7 +15,7 @@
 describe('ConcurrencyLimit', () => {
 	it('grows while latency is stable and stops near the point where requests begin to wait', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 200, initial: 4});
-		drive(limit, 16, 0, 5000);
+		runRequests(limit, 16, 0, 5000);
 		expect(limit.limit).to.be.within(16, 40);
 	});
 
@@ -30,7 +30,7 @@
 
 	it('replaces a floor from before the endpoint slowed down', () => {
 		const limit = new ConcurrencyLimit({min: 1, max: 200, initial: 16});
-		drive(limit, 16, 0, 2000);
+		runRequests(limit, 16, 0, 2000);
 		for (let now = 100_000; now < 200_000; now += 20) {
 			limit.record(300, limit.limit, false, now);
 		}
--- a/packages/decisions/__tests__/ejection.spec.ts
+++ b/packages/decisions/__tests__/ejection.spec.ts
@@ -18,7 +18,7 @@
 }
 
 /** Returns the number of requests until an endpoint is ejected, at most 200. */
-function countUntilEjected(ejection: Ejection, endpoint: string, evidence: () => {hasFailed: boolean; slowness: number}): number {
+function countRequestsUntilEjected(ejection: Ejection, endpoint: string, evidence: () => {hasFailed: boolean; slowness: number}): number {
 	for (let i = 1; i <= 200; i++) {
 		if (ejection.record(endpoint, evidence(), 1000)) {
 			return i;
@@ -29,7 +29,7 @@
 }
 
 /** Returns the milliseconds until a recovered endpoint is in use again; probes take 100 ms. */
-function timeUntilBack(ejection: Ejection, endpoint: string, from: number): number {
+function measureRestoreMs(ejection: Ejection, endpoint: string, from: number): number {
 	for (let now = from; now < from + 60_000; now += 100) {
 		if (!ejection.isEjected(endpoint)) {
 			return now - from;
@@ -45,17 +45,17 @@
 
 describe('Ejection', () => {
 	it('ejects an endpoint that is ten times slower within a few requests', () => {
-		expect(countUntilEjected(createPool(), 'a', () => ({hasFailed: false, slowness: 10}))).to.be.at.most(3);
+		expect(countRequestsUntilEjected(createPool(), 'a', () => ({hasFailed: false, slowness: 10}))).to.be.at.most(3);
 	});
 
 	it('ejects an endpoint that fails half of its calls', () => {
 		const random = new Random(2);
-		expect(countUntilEjected(createPool(), 'a', () => ({hasFailed: random.next() < 0.5, slowness: 1}))).to.be.at.most(15);
+		expect(countRequestsUntilEjected(createPool(), 'a', () => ({hasFailed: random.next() < 0.5, slowness: 1}))).to.be.at.most(15);
 	});
 
 	it('does not eject an endpoint that fails one call in fifty', () => {
 		const random = new Random(3);
-		expect(countUntilEjected(createPool(), 'a', () => ({hasFailed: random.next() < 0.02, slowness: 1}))).to.equal(Number.POSITIVE_INFINITY);
+		expect(countRequestsUntilEjected(createPool(), 'a', () => ({hasFailed: random.next() < 0.02, slowness: 1}))).to.equal(Number.POSITIVE_INFINITY);
 	});
 
 	it('does not eject endpoints of a pool that is slow as a whole', () => {
@@ -70,30 +70,30 @@
 	it('never ejects more than a third, nor the only endpoint', () => {
 		const ejection = createPool();
 		for (const endpoint of pool) {
-			countUntilEjected(ejection, endpoint, () => ({hasFailed: true, slowness: 1}));
+			countRequestsUntilEjected(ejection, endpoint, () => ({hasFailed: true, slowness: 1}));
 		}
 
 		expect(ejection.ejectedCount).to.equal(2);
 		const single = new Ejection();
 		single.add('only');
-		expect(countUntilEjected(single, 'only', () => ({hasFailed: true, slowness: 1}))).to.equal(Number.POSITIVE_INFINITY);
+		expect(countRequestsUntilEjected(single, 'only', () => ({hasFailed: true, slowness: 1}))).to.equal(Number.POSITIVE_INFINITY);
 	});
 
 	it('restores an endpoint within ten seconds of its recovery, even after a minute of failed probes', () => {
 		const ejection = createPool();
-		countUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
+		countRequestsUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
 		for (let now = 1000; now < 61_000; now += 100) {
 			if (ejection.tryTakeProbe('a', now)) {
 				ejection.recordProbe('a', {hasFailed: true, slowness: 1}, now);
 			}
 		}
 
-		expect(timeUntilBack(ejection, 'a', 61_000)).to.be.at.most(10_000);
+		expect(measureRestoreMs(ejection, 'a', 61_000)).to.be.at.most(10_000);
 	});
 
 	it('requires consecutive successful probes', () => {
 		const ejection = createPool();
-		countUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
+		countRequestsUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
 		for (let i = 0; i < 40; i++) {
 			ejection.recordProbe('a', {hasFailed: i % 4 === 3, slowness: 1}, 2000 + i);
 		}
@@ -103,9 +103,9 @@
 
 	it('does not wait for a probe that never ends', () => {
 		const ejection = createPool();
-		countUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
+		countRequestsUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
 		expect(ejection.tryTakeProbe('a', 2000)).to.equal(true);
 		expect(ejection.tryTakeProbe('a', 2100)).to.equal(false);
-		expect(timeUntilBack(ejection, 'a', 2100)).to.be.at.most(10_000);
+		expect(measureRestoreMs(ejection, 'a', 2100)).to.be.at.most(10_000);
 	});
 });
--- a/packages/decisions/__tests__/expected-headroom.spec.ts
+++ b/packages/decisions/__tests__/expected-headroom.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {findSlowPace, isRoomExpected, type EndpointOccupancy} from '../src/index.js';
 
-function createRoom(changes: Partial<EndpointOccupancy> = {}): EndpointOccupancy {
+function createOccupancy(changes: Partial<EndpointOccupancy> = {}): EndpointOccupancy {
 	return {
 		slots: 4, open: 0, others: 0, ageMs: 0, workMs: 40, ...changes,
 	};
@@ -9,16 +9,16 @@
 
 describe('isRoomExpected', () => {
 	it('allows one open request more than slots, so that none is idle for a round trip', () => {
-		expect([4, 5].map(open => isRoomExpected(createRoom({open})))).to.deep.equal([true, false]);
+		expect([4, 5].map(open => isRoomExpected(createOccupancy({open})))).to.deep.equal([true, false]);
 	});
 
 	it('trusts the reported requests of others until they have probably ended', () => {
-		const rooms = [0, 19, 20].map(ageMs => createRoom({open: 1, others: 5, ageMs}));
+		const rooms = [0, 19, 20].map(ageMs => createOccupancy({open: 1, others: 5, ageMs}));
 		expect(rooms.map(room => isRoomExpected(room))).to.deep.equal([false, false, true]);
 	});
 
 	it('always counts the open requests of this process', () => {
-		expect(isRoomExpected(createRoom({open: 5, ageMs: 1000}))).to.equal(false);
+		expect(isRoomExpected(createOccupancy({open: 5, ageMs: 1000}))).to.equal(false);
 	});
 });
 
--- a/packages/decisions/__tests__/load-timing.spec.ts
+++ b/packages/decisions/__tests__/load-timing.spec.ts
@@ -5,7 +5,7 @@
 const textMs = 1000;
 const slotsEach = 6;
 
-function createOccasion(changed: Partial<PublishedVersion> = {}): PublishedVersion {
+function createVersion(changed: Partial<PublishedVersion> = {}): PublishedVersion {
 	return {
 		sinceMs: 500, waiting: 0, endpoints: 8, width: 4, loadMs, intervalMs: 4000, ...changed,
 	};
@@ -16,15 +16,15 @@
  *
  * @returns times at which its last generation begins and the last endpoint has loaded, in milliseconds
  */
-function replay(texts: number, decide: (occasion: PublishedVersion) => boolean): {begunMs: number; loadedMs: number} {
+function replay(generations: number, decide: (occasion: PublishedVersion) => boolean): {begunMs: number; loadedMs: number} {
 	const endpoints = Array.from({length: 8}, () => ({loadsUntil: 0, isNew: false, ends: Array.from({length: slotsEach}, () => 0)}));
-	let waiting = texts;
+	let waiting = generations;
 	let begunMs = 0;
 	let loadedMs = 0;
 	for (let now = 0; now < 10_000; now += 50) {
 		const loading = endpoints.filter(({loadsUntil}) => loadsUntil > now).length;
 		const old = endpoints.filter(({isNew}) => !isNew);
-		if (old.length > 0 && decide(createOccasion({sinceMs: now, waiting, endpoints: old.length}))) {
+		if (old.length > 0 && decide(createVersion({sinceMs: now, waiting, endpoints: old.length}))) {
 			for (const endpoint of old.slice(0, 4 - loading)) {
 				endpoint.isNew = true;
 				endpoint.loadsUntil = now + loadMs;
@@ -48,26 +48,26 @@
 
 describe('shouldLoad', () => {
 	it('leaves time for the step that follows a publication to arrive', () => {
-		expect(shouldLoad(createOccasion({sinceMs: 250}), 300)).to.equal(false);
-		expect(shouldLoad(createOccasion({sinceMs: 300}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({sinceMs: 250}), 300)).to.equal(false);
+		expect(shouldLoad(createVersion({sinceMs: 300}), 300)).to.equal(true);
 	});
 
 	it('waits for generations that have not started, as long as all loads end before the next publication', () => {
-		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 900, intervalMs: 3500}), 300)).to.equal(false);
-		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 1000, intervalMs: 3500}), 300)).to.equal(true);
-		expect(shouldLoad(createOccasion({
+		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 900, intervalMs: 3500}), 300)).to.equal(false);
+		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 1000, intervalMs: 3500}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({
 			waiting: 20, sinceMs: 1000, intervalMs: 3500, endpoints: 4,
 		}), 300)).to.equal(false);
 	});
 
 	it('waits no longer than a load takes, however rarely versions are published', () => {
-		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 1250, intervalMs: 20_000}), 300)).to.equal(false);
-		expect(shouldLoad(createOccasion({waiting: 20, sinceMs: 1300, intervalMs: 20_000}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 1250, intervalMs: 20_000}), 300)).to.equal(false);
+		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 1300, intervalMs: 20_000}), 300)).to.equal(true);
 	});
 
 	it('does not wait without information on waiting generations or the publication interval', () => {
-		expect(shouldLoad(createOccasion({waiting: undefined}), 300)).to.equal(true);
-		expect(shouldLoad(createOccasion({waiting: 20, intervalMs: undefined}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({waiting: undefined}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({waiting: 20, intervalMs: undefined}), 300)).to.equal(true);
 	});
 
 	it('starts all generations of a step earlier than loads at a fixed time, and loads all endpoints before the next publication', () => {
--- a/packages/decisions/__tests__/model-assignment.spec.ts
+++ b/packages/decisions/__tests__/model-assignment.spec.ts
@@ -2,15 +2,15 @@
 import {Random} from '@wasabiusher/shared';
 import {placeModels, type ModelEndpoint, type ModelNeed} from '../src/index.js';
 
-function createHolder(id: string, versions: Record<string, number>, paceMs?: number): ModelEndpoint {
+function createEndpoint(id: string, versions: Record<string, number>, paceMs?: number): ModelEndpoint {
 	return {id, versions: new Map(Object.entries(versions)), paceMs};
 }
 
-function place(holders: readonly ModelEndpoint[], published: Record<string, number> = {}, needs: Record<string, ModelNeed> = {}): Map<string, readonly string[]> {
+function assign(holders: readonly ModelEndpoint[], published: Record<string, number> = {}, needs: Record<string, ModelNeed> = {}): Map<string, readonly string[]> {
 	return placeModels({holders, published: new Map(Object.entries(published)), needs: new Map(Object.entries(needs))});
 }
 
-function countPlaces(placed: ReadonlyMap<string, readonly string[]>): Record<string, number> {
+function countAssigned(placed: ReadonlyMap<string, readonly string[]>): Record<string, number> {
 	const counts: Record<string, number> = {};
 	for (const model of [...placed.values()].flat().toSorted()) {
 		counts[model] = (counts[model] ?? 0) + 1;
@@ -54,37 +54,37 @@
 }
 
 describe('placeModels', () => {
-	const fresh = Array.from({length: 6}, (_, i) => createHolder(`e${i}`, {a: 1, b: 1, c: 1}));
+	const fresh = Array.from({length: 6}, (_, i) => createEndpoint(`e${i}`, {a: 1, b: 1, c: 1}));
 
 	it('assigns one model to each endpoint, evenly while the demand is unknown', () => {
-		const placed = place(fresh);
-		expect(countPlaces(placed)).to.deep.equal({a: 2, b: 2, c: 2});
+		const placed = assign(fresh);
+		expect(countAssigned(placed)).to.deep.equal({a: 2, b: 2, c: 2});
 		expect([...placed.values()].every(models => models.length === 1)).to.equal(true);
 	});
 
 	it('divides the endpoints by the work of the steps', () => {
-		const counts = countPlaces(place(fresh, {}, needs));
+		const counts = countAssigned(assign(fresh, {}, needs));
 		expect(counts.a).to.equal(1);
 		expect(counts).to.satisfy(({b, c}: Record<string, number>) => b! + c! === 5 && Math.abs(b! - c!) === 1);
-		expect(countPlaces(place(fresh.slice(0, 5), {}, needs))).to.deep.equal({a: 1, b: 2, c: 2});
+		expect(countAssigned(assign(fresh.slice(0, 5), {}, needs))).to.deep.equal({a: 1, b: 2, c: 2});
 	});
 
 	it('keeps the model of an endpoint, whichever trainer publishes more often', () => {
 		const holders = [
-			createHolder('e0', {a: 1, b: 4}), createHolder('e1', {a: 40, b: 1}), createHolder('e2', {a: 1, b: 3}), createHolder('e3', {a: 39, b: 2}),
+			createEndpoint('e0', {a: 1, b: 4}), createEndpoint('e1', {a: 40, b: 1}), createEndpoint('e2', {a: 1, b: 3}), createEndpoint('e3', {a: 39, b: 2}),
 		];
-		const placed = place(holders, {a: 40, b: 4});
+		const placed = assign(holders, {a: 40, b: 4});
 		expect(holders.flatMap(({id}) => placed.get(id)!)).to.deep.equal(['b', 'a', 'b', 'a']);
 	});
 
 	it('does not oscillate between two models of nearly the same work', () => {
 		const published = {a: 9, b: 5, c: 6};
-		const first = place(fresh, published, needs);
+		const first = assign(fresh, published, needs);
 		let holders = follow(fresh, first, published);
 		for (const [work, next] of [[83_000, 10], [70_000, 11], [81_000, 12]] as const) {
 			const changed = {...needs, b: {work, longest: 10_500}};
 			const versions = {a: next, b: next, c: next};
-			const placed = place(holders, versions, changed);
+			const placed = assign(holders, versions, changed);
 			expect([...placed]).to.deep.equal([...first]);
 			holders = follow(holders, placed, versions);
 		}
@@ -92,8 +92,8 @@
 
 	it('reassigns an endpoint once another model has a clearly larger shortage', () => {
 		const published = {a: 9, b: 5, c: 6};
-		const holders = follow(fresh, place(fresh, published), published);
-		const counts = countPlaces(place(holders, {a: 10, b: 6, c: 7}, needs));
+		const holders = follow(fresh, assign(fresh, published), published);
+		const counts = countAssigned(assign(holders, {a: 10, b: 6, c: 7}, needs));
 		expect(counts.a).to.equal(1);
 	});
 
@@ -104,10 +104,10 @@
 			speeds[id] = i < 2 ? 47 : 36;
 			return {id, versions, paceMs: speeds[id]};
 		});
-		const placed = place(holders, published, needs);
+		const placed = assign(holders, published, needs);
 		const slow = (model: string) => [...placed].filter(([id, [own]]) => own === model && speeds[id] === 47).length;
 		expect(slow('a')).to.equal(1);
-		expect(place(follow(holders, placed, published), published, needs)).to.deep.equal(placed);
+		expect(assign(follow(holders, placed, published), published, needs)).to.deep.equal(placed);
 	});
 
 	it('divides the fast endpoints among all models with long generations, and keeps them when paces are measured again', () => {
@@ -116,9 +116,9 @@
 		const unlike: Record<string, ModelNeed> = {
 			a: {work: 2350, longest: 152}, b: {work: 1930, longest: 145}, c: {work: 1390, longest: 125}, d: {work: 2250, longest: 145},
 		};
-		const holders = Array.from({length: 31}, (_, i) => createHolder(`e${i}`, published, i % 4 === 0 ? 26 : 55));
+		const holders = Array.from({length: 31}, (_, i) => createEndpoint(`e${i}`, published, i % 4 === 0 ? 26 : 55));
 		const countFast = (placed: ReadonlyMap<string, readonly string[]>) => models.map(model => holders.filter(({id, paceMs}) => paceMs === 26 && placed.get(id)![0] === model).length);
-		const placed = place(holders, published, unlike);
+		const placed = assign(holders, published, unlike);
 		expect(Math.min(...countFast(placed))).to.be.at.least(1);
 		expect(Math.max(...countFast(placed))).to.be.at.most(3);
 		const last = new Map([...placed].map(([id, [model]]) => [id, model!]));
@@ -131,7 +131,7 @@
 	it('assigns every endpoint, whatever demand is reported', () => {
 		for (const works of [[100, -100], [1e308, 1e308], [Number.NaN, 1], [0, 0]]) {
 			const odd: Record<string, ModelNeed> = {a: {work: works[0]!, longest: 1}, b: {work: works[1]!, longest: -1}};
-			expect(place(fresh, {}, odd).size).to.equal(6);
+			expect(assign(fresh, {}, odd).size).to.equal(6);
 		}
 	});
 
@@ -145,26 +145,26 @@
 
 	it('keeps endpoints that are slower only because of their load', () => {
 		const published = {a: 2, b: 2, c: 2};
-		const placed = place(fresh, published, needs);
+		const placed = assign(fresh, published, needs);
 		const holders = follow(fresh, placed, published).map((holder, i) => ({...holder, paceMs: i % 2 === 0 ? 42 : 36}));
-		expect(place(holders, {a: 3, b: 3, c: 3}, needs)).to.deep.equal(placed);
+		expect(assign(holders, {a: 3, b: 3, c: 3}, needs)).to.deep.equal(placed);
 	});
 
 	it('divides evenly, or not at all, according to the policy', () => {
 		const input = {holders: fresh, published: new Map<string, number>(), needs: new Map(Object.entries(needs))};
-		expect(countPlaces(placeModels(input, 'even'))).to.deep.equal({a: 2, b: 2, c: 2});
-		expect(countPlaces(placeModels(input, 'all-models'))).to.deep.equal({a: 6, b: 6, c: 6});
+		expect(countAssigned(placeModels(input, 'even'))).to.deep.equal({a: 2, b: 2, c: 2});
+		expect(countAssigned(placeModels(input, 'all-models'))).to.deep.equal({a: 6, b: 6, c: 6});
 	});
 
 	it('assigns an endpoint to every model when endpoints are lost', () => {
-		const placed = place(fresh.slice(0, 3), {}, needs);
+		const placed = assign(fresh.slice(0, 3), {}, needs);
 		expect([...placed.values()].flat().toSorted()).to.deep.equal(['a', 'b', 'c']);
-		expect([...place(fresh.slice(0, 2)).values()].every(models => models.length === 3)).to.equal(true);
-		expect(countPlaces(place(fresh, {}, {b: {work: 5, longest: 5}}))).to.deep.equal({a: 1, b: 4, c: 1});
+		expect([...assign(fresh.slice(0, 2)).values()].every(models => models.length === 3)).to.equal(true);
+		expect(countAssigned(assign(fresh, {}, {b: {work: 5, longest: 5}}))).to.deep.equal({a: 1, b: 4, c: 1});
 	});
 
 	it('assigns every endpoint to the only model', () => {
-		expect([...place([createHolder('x', {a: 2}), createHolder('y', {a: 1})]).values()]).to.deep.equal([['a'], ['a']]);
+		expect([...assign([createEndpoint('x', {a: 2}), createEndpoint('y', {a: 1})]).values()]).to.deep.equal([['a'], ['a']]);
 	});
 
 	it('completes the last of three unequal steps earlier than with even shares, on endpoints of which two are slower', () => {
@@ -172,6 +172,6 @@
 		const holders = fresh.map(holder => ({...holder, paceMs: 36 * speeds[holder.id]!}));
 		const seeds = Array.from({length: 30}, (_, i) => i + 1);
 		const time = (placed: ReadonlyMap<string, readonly string[]>) => seeds.reduce((sum, seed) => sum + replay(seed, placed, speeds), 0) / seeds.length;
-		expect(time(place(holders, {}, needs))).to.be.lessThan(0.95 * time(place(fresh)));
+		expect(time(assign(holders, {}, needs))).to.be.lessThan(0.95 * time(assign(fresh)));
 	});
 });
--- a/packages/decisions/__tests__/poison.spec.ts
+++ b/packages/decisions/__tests__/poison.spec.ts
@@ -67,7 +67,7 @@
 
 	it('loses at most two endpoints to a poison request sent again through other entries at once', () => {
 		for (let seed = 0; seed < 50; seed++) {
-			expect(countFallen(seed)).to.be.at.most(2);
+			expect(countCrashedEndpoints(seed)).to.be.at.most(2);
 		}
 	});
 });
@@ -76,33 +76,33 @@
  * Three entries receive crash records one round late; the caller retries through all of them each round.
  * Suspects meet at one endpoint, whose agent runs one of them at a time and reports its crash to the others.
  */
-function countFallen(seed: number): number {
+function countCrashedEndpoints(seed: number): number {
 	const random = new Random(seed);
 	const guards = [new PoisonGuard(), new PoisonGuard(), new PoisonGuard()];
-	const fallen = new Set<string>();
+	const crashed = new Set<string>();
 	const first = random.pick(endpoints);
-	fallen.add(first);
+	crashed.add(first);
 	for (const guard of guards) {
 		guard.recordCrash(createCrash(first, 'poison', 'innocent'), 0);
 	}
 
 	for (let round = 1; round <= 10; round++) {
-		const news: Array<ReturnType<typeof createCrash>> = [];
+		const crashes: Array<ReturnType<typeof createCrash>> = [];
 		for (const guard of guards) {
 			const verdict = guard.judge('poison', round * 100);
 			const target = verdict.kind === 'isolate' ? chooseIsolation('poison', endpoints, verdict.avoid) : undefined;
 			if (target !== undefined) {
-				fallen.add(target);
-				news.push(createCrash(target, 'poison'));
+				crashed.add(target);
+				crashes.push(createCrash(target, 'poison'));
 			}
 		}
 
-		const heard = random.integer(0, 2);
-		guards[heard]!.recordCrash(news[0] ?? createCrash('a'), round * 100);
+		const receiver = random.integer(0, 2);
+		guards[receiver]!.recordCrash(crashes[0] ?? createCrash('a'), round * 100);
 		for (const guard of guards) {
-			guard.merge(guards[heard]!.list(round * 100), round * 100);
+			guard.merge(guards[receiver]!.list(round * 100), round * 100);
 		}
 	}
 
-	return fallen.size;
+	return crashed.size;
 }
--- a/packages/decisions/__tests__/regenerations.spec.ts
+++ b/packages/decisions/__tests__/regenerations.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {chooseRenewals, type RegenerationCandidate} from '../src/index.js';
 
-function createText(changes: Partial<RegenerationCandidate> = {}): RegenerationCandidate {
+function createCandidate(changes: Partial<RegenerationCandidate> = {}): RegenerationCandidate {
 	return {
 		id: 'a', events: 100, oldestVersion: 1, isRenewed: false, ...changes,
 	};
@@ -9,11 +9,11 @@
 
 describe('chooseRenewals', () => {
 	it('regenerates long generations of older weights, longest first', () => {
-		const texts = [createText(), createText({id: 'b', events: 150}), createText({id: 'c', events: 20})];
+		const texts = [createCandidate(), createCandidate({id: 'b', events: 150}), createCandidate({id: 'c', events: 20})];
 		expect(chooseRenewals(texts, 2)).to.deep.equal(['b', 'a']);
 	});
 
 	it('leaves out generations of the newest weights and those already regenerated', () => {
-		expect(chooseRenewals([createText({oldestVersion: 2}), createText({isRenewed: true})], 2)).to.deep.equal([]);
+		expect(chooseRenewals([createCandidate({oldestVersion: 2}), createCandidate({isRenewed: true})], 2)).to.deep.equal([]);
 	});
 });
--- a/packages/decisions/__tests__/retry-after-plan.spec.ts
+++ b/packages/decisions/__tests__/retry-after-plan.spec.ts
@@ -9,17 +9,17 @@
  *
  * @returns total number of attempts and the time by which all are served
  */
-async function replay(clock: Clock, callers: number, tell: (rooms: EndpointRoom[]) => number): Promise<{attempts: number; servedMs: number}> {
+async function replay(clock: Clock, callers: number, findRetryAfterMs: (rooms: EndpointRoom[]) => number): Promise<{attempts: number; servedMs: number}> {
 	const endpoints = [{running: 0}, {running: 0}];
 	let served = 0;
 	const startedAt = performance.now();
 	let attempts = 0;
 	let servedMs = 0;
-	const ask = () => {
+	const attempt = () => {
 		attempts += 1;
 		const free = endpoints.find(({running}) => running < 2);
 		if (!free) {
-			setTimeout(ask, tell(endpoints.map(({running}) => ({
+			setTimeout(attempt, findRetryAfterMs(endpoints.map(({running}) => ({
 				slots: 2, running, waiting: 0, workMs,
 			}))));
 			return;
@@ -34,7 +34,7 @@
 	};
 
 	for (let caller = 0; caller < callers; caller += 1) {
-		setTimeout(ask, caller * 2);
+		setTimeout(attempt, caller * 2);
 	}
 
 	await clock.tickAsync(20_000);
--- a/packages/decisions/__tests__/staleness.spec.ts
+++ b/packages/decisions/__tests__/staleness.spec.ts
@@ -5,7 +5,7 @@
 
 const forecast = {current: 10, since: 0, intervalMs: 100_000};
 
-function createDraft(changes = {}) {
+function createWork(changes = {}) {
 	return {
 		engineVersion: 10, finishAt: 50_000, stepsAhead: 0, ...changes,
 	};
@@ -13,26 +13,26 @@
 
 describe('judgeDispatch', () => {
 	it('starts work that will be fresh enough when it is done', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createDraft(), 0)).to.equal('start');
-		expect(judgeDispatch({versions: 1}, forecast, createDraft({finishAt: 150_000}), 60_000)).to.equal('start');
+		expect(judgeDispatch({versions: 0}, forecast, createWork(), 0)).to.equal('start');
+		expect(judgeDispatch({versions: 1}, forecast, createWork({finishAt: 150_000}), 60_000)).to.equal('start');
 	});
 
 	it('delays work that a version in between would make stale', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createDraft({finishAt: 120_000}), 60_000)).to.equal('wait');
+		expect(judgeDispatch({versions: 0}, forecast, createWork({finishAt: 120_000}), 60_000)).to.equal('wait');
 	});
 
 	it('waits for the swap of an endpoint with older weights', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createDraft({engineVersion: 9}), 0)).to.equal('wait');
+		expect(judgeDispatch({versions: 0}, forecast, createWork({engineVersion: 9}), 0)).to.equal('wait');
 	});
 
 	it('starts work for later steps only within the bound', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createDraft({stepsAhead: 1}), 0)).to.equal('wait');
-		expect(judgeDispatch({versions: 1}, forecast, createDraft({stepsAhead: 1}), 0)).to.equal('start');
-		expect(judgeDispatch({versions: 1}, forecast, createDraft({stepsAhead: 2}), 0)).to.equal('wait');
+		expect(judgeDispatch({versions: 0}, forecast, createWork({stepsAhead: 1}), 0)).to.equal('wait');
+		expect(judgeDispatch({versions: 1}, forecast, createWork({stepsAhead: 1}), 0)).to.equal('start');
+		expect(judgeDispatch({versions: 1}, forecast, createWork({stepsAhead: 2}), 0)).to.equal('wait');
 	});
 
 	it('does not wait forever with work that can never be in time', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createDraft({finishAt: 300_000}), 60_000)).to.equal('start');
+		expect(judgeDispatch({versions: 0}, forecast, createWork({finishAt: 300_000}), 60_000)).to.equal('start');
 	});
 });
 
--- a/packages/decisions/__tests__/step-order.spec.ts
+++ b/packages/decisions/__tests__/step-order.spec.ts
@@ -105,7 +105,7 @@
 });
 
 describe('divideSlots', () => {
-	function createNeed(trainer: string, changes: Partial<TrainerDemand> = {}): TrainerDemand {
+	function createDemand(trainer: string, changes: Partial<TrainerDemand> = {}): TrainerDemand {
 		return {
 			trainer, share: 1, remainingTokens: 0, deadlineAt: 100_000, usableSlots: 100, nextStepSlots: 0, ...changes,
 		};
@@ -113,22 +113,22 @@
 
 	it('gives each step the rate that it needs for its deadline, and divides the rest by share', () => {
 		const slots = divideSlots([
-			createNeed('late', {remainingTokens: 60_000}),
-			createNeed('early', {remainingTokens: 20_000, share: 3}),
+			createDemand('late', {remainingTokens: 60_000}),
+			createDemand('early', {remainingTokens: 20_000, share: 3}),
 		], 120, 0.01, 0);
 		expect(slots.get('late')).to.equal(70);
 		expect(slots.get('early')).to.equal(50);
 	});
 
 	it('divides scarce slots by demand', () => {
-		const slots = divideSlots([createNeed('a', {remainingTokens: 90_000}), createNeed('b', {remainingTokens: 30_000})], 40, 0.01, 0);
+		const slots = divideSlots([createDemand('a', {remainingTokens: 90_000}), createDemand('b', {remainingTokens: 30_000})], 40, 0.01, 0);
 		expect([slots.get('a'), slots.get('b')]).to.deep.equal([30, 10]);
 	});
 
 	it('lets the next step\'s work fill the tail', () => {
 		const slots = divideSlots([
-			createNeed('tail', {remainingTokens: 1000, usableSlots: 4, nextStepSlots: 100}),
-			createNeed('other', {remainingTokens: 10_000, usableSlots: 20}),
+			createDemand('tail', {remainingTokens: 1000, usableSlots: 4, nextStepSlots: 100}),
+			createDemand('other', {remainingTokens: 10_000, usableSlots: 20}),
 		], 48, 0.01, 0);
 		expect([slots.get('tail'), slots.get('other')]).to.deep.equal([28, 20]);
 	});
--- a/packages/decisions/__tests__/uneven-endpoints.spec.ts
+++ b/packages/decisions/__tests__/uneven-endpoints.spec.ts
@@ -5,7 +5,7 @@
 	chooseDirect, gainsBy, isAtRisk, SpeedModel, TextLengths, type DirectCandidate,
 } from '../src/index.js';
 
-type Text = {made: number; madeHere: number; length: number; hint: number; at: number};
+type ReplayedGeneration = {made: number; madeHere: number; length: number; hint: number; at: number};
 
 const tickMs = 50;
 const slots = 6;
@@ -23,7 +23,7 @@
 	});
 
 	/** Lengths like those of a trainer: a mean of 20 events, few over 100; hints are right at the median and off by a factor of two. */
-	function createTexts(random: Random, count: number): Text[] {
+	function createGenerations(random: Random, count: number): ReplayedGeneration[] {
 		return Array.from({length: count}, () => {
 			const length = Math.min(152, Math.ceil(5 / (Math.max(0.001, random.next()) ** 0.75)));
 			return {
@@ -32,9 +32,9 @@
 		}).toSorted((a, b) => b.hint - a.hint);
 	}
 
-	function learnLengths(random: Random): TextLengths {
+	function recordLengths(random: Random): TextLengths {
 		const lengths = new TextLengths();
-		for (const {hint, length} of createTexts(random, 120)) {
+		for (const {hint, length} of createGenerations(random, 120)) {
 			lengths.record('t', hint, length);
 		}
 
@@ -42,58 +42,58 @@
 	}
 
 	/**
-	 * Replays a step whose texts begin at once.
+	 * Replays a step whose generations begin together.
 	 *
 	 * @param findUnitMs - time for an event at an endpoint, by the time since the step's begin
-	 * @returns when nine of ten texts and when all are whole, in milliseconds, and how many moved
+	 * @returns time at which all are complete, in milliseconds, and the number of moves per generation
 	 */
 	function replay(seed: number, paces: readonly number[], {isPlanned, findUnitMs = endpoint => paces[endpoint]!}: {isPlanned: boolean; findUnitMs?: (endpoint: number, ms: number) => number}) {
 		const random = new Random(seed);
-		const lengths = learnLengths(random);
+		const lengths = recordLengths(random);
 		const models = paces.map(paceMs => {
 			const model = new SpeedModel();
 			model.guessClass(paceMs);
 			return model;
 		});
-		const texts = createTexts(random, paces.length * slots * 0.9);
-		const list = (): DirectCandidate[] => paces.map((_, i) => ({
-			id: String(i), slots, open: texts.filter(({at}) => at === i).length, others: 0, paceMs: isPlanned ? models[i]!.expectedMs : undefined, isWarm: false, isHome: true, isConnected: true,
+		const generations = createGenerations(random, paces.length * slots * 0.9);
+		const listCandidates = (): DirectCandidate[] => paces.map((_, i) => ({
+			id: String(i), slots, open: generations.filter(({at}) => at === i).length, others: 0, paceMs: isPlanned ? models[i]!.expectedMs : undefined, isWarm: false, isHome: true, isConnected: true,
 		}));
-		for (const text of texts) {
-			const units = isPlanned ? lengths.expectLeft('t', text.hint, 0)! : undefined;
-			text.at = Number(chooseDirect(list().filter(({open}) => open < slots), random.next(), units === undefined ? undefined : {units, dueInMs: dueMs})!.id);
+		for (const generation of generations) {
+			const units = isPlanned ? lengths.expectLeft('t', generation.hint, 0)! : undefined;
+			generation.at = Number(chooseDirect(listCandidates().filter(({open}) => open < slots), random.next(), units === undefined ? undefined : {units, dueInMs: dueMs})!.id);
 		}
 
 		let moves = 0;
 		let ms = 0;
-		const move = (text: Text) => {
-			const movable = {madeHere: text.madeHere, unitsLeft: lengths.expectLeft('t', text.hint, text.made)!, dueInMs: dueMs - ms};
-			const here = models[text.at]!.speed;
-			const better = isPlanned && isAtRisk(movable, here) ? list().filter(({id, open}) => open < slots && gainsBy(movable, here, models[Number(id)]!.speed)) : [];
+		const move = (generation: ReplayedGeneration) => {
+			const movable = {madeHere: generation.madeHere, unitsLeft: lengths.expectLeft('t', generation.hint, generation.made)!, dueInMs: dueMs - ms};
+			const here = models[generation.at]!.speed;
+			const better = isPlanned && isAtRisk(movable, here) ? listCandidates().filter(({id, open}) => open < slots && gainsBy(movable, here, models[Number(id)]!.speed)) : [];
 			const chosen = chooseDirect(better, random.next());
 			if (chosen) {
-				text.at = Number(chosen.id);
-				text.madeHere = 0;
+				generation.at = Number(chosen.id);
+				generation.madeHere = 0;
 				moves += 1;
 			}
 		};
 
-		for (; texts.some(({at}) => at >= 0); ms += tickMs) {
+		for (; generations.some(({at}) => at >= 0); ms += tickMs) {
 			clock.tick(tickMs);
-			for (const text of texts.filter(({at}) => at >= 0)) {
-				const unitMs = findUnitMs(text.at, ms);
-				models[text.at]!.recordUnit(unitMs);
-				text.made += tickMs / unitMs;
-				text.madeHere += tickMs / unitMs;
-				if (text.made >= text.length) {
-					text.at = -1;
+			for (const generation of generations.filter(({at}) => at >= 0)) {
+				const unitMs = findUnitMs(generation.at, ms);
+				models[generation.at]!.recordUnit(unitMs);
+				generation.made += tickMs / unitMs;
+				generation.madeHere += tickMs / unitMs;
+				if (generation.made >= generation.length) {
+					generation.at = -1;
 				} else {
-					move(text);
+					move(generation);
 				}
 			}
 		}
 
-		return {endMs: ms, moves: moves / texts.length};
+		return {endMs: ms, moves: moves / generations.length};
 	}
 
 	function average(seeds: number, play: (seed: number) => {endMs: number; moves: number}) {
@@ -121,15 +121,15 @@
 	});
 
 	it('never moves a generation in its first five events, unless its endpoint has become slow', () => {
-		const text = {madeHere: 3, unitsLeft: 100, dueInMs: 2000};
-		expect([1, 3].map(spell => isAtRisk(text, {classMs: 56, spell, transientFactor: 1}))).to.deep.equal([false, true]);
-		expect(isAtRisk({...text, madeHere: 5}, {classMs: 56, spell: 1, transientFactor: 1})).to.equal(true);
+		const newlyStarted = {madeHere: 3, unitsLeft: 100, dueInMs: 2000};
+		expect([1, 3].map(spell => isAtRisk(newlyStarted, {classMs: 56, spell, transientFactor: 1}))).to.deep.equal([false, true]);
+		expect(isAtRisk({...newlyStarted, madeHere: 5}, {classMs: 56, spell: 1, transientFactor: 1})).to.equal(true);
 	});
 
 	it('stays at an endpoint that is merely full if an idle one has the same persistent speed', () => {
-		const text = {madeHere: 20, unitsLeft: 100, dueInMs: 2000};
-		expect(gainsBy(text, {classMs: 56, spell: 1, transientFactor: 1}, {classMs: 26, spell: 2, transientFactor: 1})).to.equal(true);
-		expect([2, 2.5].map(spell => gainsBy(text, {classMs: 56, spell, transientFactor: 1}, {classMs: 56, spell: 1, transientFactor: 1}))).to.deep.equal([false, true]);
+		const settled = {madeHere: 20, unitsLeft: 100, dueInMs: 2000};
+		expect(gainsBy(settled, {classMs: 56, spell: 1, transientFactor: 1}, {classMs: 26, spell: 2, transientFactor: 1})).to.equal(true);
+		expect([2, 2.5].map(spell => gainsBy(settled, {classMs: 56, spell, transientFactor: 1}, {classMs: 56, spell: 1, transientFactor: 1}))).to.deep.equal([false, true]);
 	});
 });
 
--- a/packages/decisions/__tests__/weight-waves.spec.ts
+++ b/packages/decisions/__tests__/weight-waves.spec.ts
@@ -10,7 +10,7 @@
 
 type Outcome = {doneMs: number; mostOut: number; mostStoreStreams: number; failures: number};
 
-function roll(count: number, limits: WaveLimits, failureRate: number): Outcome {
+function simulateRollout(count: number, limits: WaveLimits, failureRate: number): Outcome {
 	const random = new Random(7);
 	let replicas: Replica[] = Array.from({length: count}, (_, i) => ({id: `e${i}`, state: 'old', failures: 0}));
 	const endsAt = new Map<string, number>();
@@ -54,7 +54,7 @@
 
 describe('planWave', () => {
 	it('updates a data centre of 526 endpoints within 17 s including failed swaps, within the headroom and the store\'s rate', () => {
-		const outcome = roll(526, {storeStreams: 8, peerStreams: 2, interactiveEndpoints: 300}, 0.02);
+		const outcome = simulateRollout(526, {storeStreams: 8, peerStreams: 2, interactiveEndpoints: 300}, 0.02);
 		expect(outcome.failures).to.be.above(0);
 		expect(outcome.doneMs).to.be.at.most(17_000);
 		expect(outcome.mostOut).to.be.at.most(526 - 375);
@@ -62,7 +62,7 @@
 	});
 
 	it('updates a small pool without peers, one endpoint at a time if interactive callers need the rest', () => {
-		const outcome = roll(6, {storeStreams: 2, peerStreams: 0, interactiveEndpoints: 4}, 0);
+		const outcome = simulateRollout(6, {storeStreams: 2, peerStreams: 0, interactiveEndpoints: 4}, 0);
 		expect(outcome.mostOut).to.equal(1);
 		expect(outcome.doneMs).to.be.at.most(17_000);
 	});
