--- a/packages/decisions/src/batch-shares.ts
+++ b/packages/decisions/src/batch-shares.ts
@@ -27,7 +27,7 @@
  */
 const endpointsPerShare = 3;
 
-/** Maximum number of samples of all open batches per core of a host; a core can read about 250 generations at the same time. */
+/** Maximum number of samples of all open batches per core of a host; a core at its limit reads about 250 generations at the same time. */
 const samplesPerCore = 100;
 
 /** Maximum time without a heartbeat from a working host, in milliseconds: two heartbeats. */
@@ -109,10 +109,10 @@
 		const candidate = byId.get(last[i] ?? '');
 		return candidate && canKeepShare(candidate) && countFreeSamples(candidate) >= samples ? candidate : undefined;
 	});
-	for (const [i, kept] of chosen.entries()) {
+	for (const [i, keptWorker] of chosen.entries()) {
 		const taken = new Set(chosen.flatMap(worker => worker ? [worker.id] : []));
 		const free = candidates.filter(candidate => !taken.has(candidate.id) && canKeepShare(candidate) && candidate.lateMs <= maxNewShareEventLoopLagMs);
-		chosen[i] = kept ?? chooseNewWorker(free, {samples, rank, preferredDataCentre: findPreferredDataCentre(endpoints, chosen)});
+		chosen[i] = keptWorker ?? chooseNewWorker(free, {samples, rank, preferredDataCentre: findPreferredDataCentre(endpoints, chosen)});
 	}
 
 	return chosen.flatMap(worker => worker ? [worker.id] : []);
@@ -185,17 +185,17 @@
 export function divideEndpoints(endpoints: readonly SharedEndpoint[], workerDataCentres: readonly string[]): string[][] {
 	const shares = workerDataCentres.map((dataCentre, share) => ({dataCentre, name: String(share), ids: [] as string[]}));
 	const count = Math.max(1, workerDataCentres.length);
-	const assign = (endpoint: SharedEndpoint, from: typeof shares, most: number) => {
-		const [best] = from.filter(({ids}) => ids.length < most).toSorted((a, b) => rankCandidate(endpoint.id, b.name) - rankCandidate(endpoint.id, a.name));
+	const assign = (endpoint: SharedEndpoint, from: typeof shares, max: number) => {
+		const [best] = from.filter(({ids}) => ids.length < max).toSorted((a, b) => rankCandidate(endpoint.id, b.name) - rankCandidate(endpoint.id, a.name));
 		best?.ids.push(endpoint.id);
 		return best !== undefined;
 	};
 
-	const assignAll = (some: readonly SharedEndpoint[], most: number) => {
-		const unassigned = some.toSorted((a, b) => a.id < b.id ? -1 : 1)
-			.filter(endpoint => !assign(endpoint, shares.filter(({dataCentre}) => dataCentre === endpoint.dataCentre), most));
-		for (const endpoint of unassigned) {
-			assign(endpoint, shares, most);
+	const assignAll = (unassignedEndpoints: readonly SharedEndpoint[], max: number) => {
+		const remote = unassignedEndpoints.toSorted((a, b) => a.id < b.id ? -1 : 1)
+			.filter(endpoint => !assign(endpoint, shares.filter(({dataCentre}) => dataCentre === endpoint.dataCentre), max));
+		for (const endpoint of remote) {
+			assign(endpoint, shares, max);
 		}
 	};
 
--- a/packages/decisions/src/checkpoint-order.ts
+++ b/packages/decisions/src/checkpoint-order.ts
@@ -23,10 +23,10 @@
  * Returns the ids of the generations to checkpoint, first those whose loss would delay their step most: long, with many unwritten events, and few other
  * samples missing in their group.
  */
-export function orderCheckpoint(texts: readonly UnfinishedGeneration[]): string[] {
-	return texts
+export function orderCheckpoint(generations: readonly UnfinishedGeneration[]): string[] {
+	return generations
 		.filter(({events, writtenEvents}) => events - writtenEvents >= minNewEvents)
-		.map(text => ({id: text.id, worth: findWorth(text)}))
+		.map(generation => ({id: generation.id, worth: findWorth(generation)}))
 		.toSorted((a, b) => b.worth - a.worth)
 		.map(({id}) => id);
 }
--- a/packages/decisions/src/direct-choice.ts
+++ b/packages/decisions/src/direct-choice.ts
@@ -122,7 +122,7 @@
 	const factor = isLong ? longRunMoveFactor : moveFactor;
 	return currentMs === undefined
 		? []
-		: others.filter(({open, others: elsewhere, slots, paceMs}) => open + elsewhere < slots && paceMs !== undefined && paceMs * factor < currentMs);
+		: others.filter(({open, others: openElsewhere, slots, paceMs}) => open + openElsewhere < slots && paceMs !== undefined && paceMs * factor < currentMs);
 }
 
 /** Returns the median of the measured paces, in milliseconds per unit of work; undefined if there are none. */
--- a/packages/decisions/src/fast-endpoint-allocation.ts
+++ b/packages/decisions/src/fast-endpoint-allocation.ts
@@ -33,22 +33,22 @@
 		return {fast: [], others: [...endpoints]};
 	}
 
-	return {fast: endpoints.filter(holder => isFast(holder)), others: endpoints.filter(holder => !isFast(holder))};
+	return {fast: endpoints.filter(endpoint => isFast(endpoint)), others: endpoints.filter(endpoint => !isFast(endpoint))};
 }
 
 /**
  * Returns the number of fast endpoints of each model, at most its share: in proportion to its work and to the square of the length of its longest
  * generations, since a generation that is twice as long is twice as much work and twice as likely to determine the duration of the step.
  */
-export function allocateFastEndpoints(models: readonly string[], {fast, shares, demands: needs, heldFast: held}: FastAllocationInput): Map<string, number> {
+export function allocateFastEndpoints(models: readonly string[], {fast, shares, demands, heldFast}: FastAllocationInput): Map<string, number> {
 	const weights = new Map(models.map(model => {
-		const {work, longest} = needs.get(model) ?? {work: 1, longest: 1};
+		const {work, longest} = demands.get(model) ?? {work: 1, longest: 1};
 		return [model, clampWork(work) * (clampWork(longest) ** 2)];
 	}));
 	const total = Math.max(Number.EPSILON, [...weights.values()].reduce((sum, weight) => sum + weight, 0));
 	const quotas = new Map(models.map(model => [model, Math.min(shares.get(model)!, fast * weights.get(model)! / total)]));
 	const fastShares = new Map(models.map(model => [model, Math.floor(quotas.get(model)!)]));
-	const findShortage = (model: string) => quotas.get(model)! - fastShares.get(model)! + (held.get(model)! > fastShares.get(model)! ? retentionBonus : 0);
+	const findShortage = (model: string) => quotas.get(model)! - fastShares.get(model)! + (heldFast.get(model)! > fastShares.get(model)! ? retentionBonus : 0);
 	for (let left = fast - [...fastShares.values()].reduce((sum, part) => sum + part, 0); left > 0; left -= 1) {
 		const [next] = models.filter(model => fastShares.get(model)! < shares.get(model)!).toSorted((a, b) => findShortage(b) - findShortage(a) || a.localeCompare(b));
 		if (next === undefined) {
--- a/packages/decisions/src/model-assignment.ts
+++ b/packages/decisions/src/model-assignment.ts
@@ -60,7 +60,7 @@
 
 const strategies: Readonly<Record<ModelAssignmentStrategy, (input: ModelAssignmentInput) => Map<string, readonly string[]>>> = {
 	'by-need': assignByDemand,
-	even: input => assignByDemand({...input, needs: new Map(), holders: input.holders.map(holder => ({...holder, paceMs: undefined}))}),
+	even: input => assignByDemand({...input, needs: new Map(), holders: input.holders.map(endpoint => ({...endpoint, paceMs: undefined}))}),
 	'all-models': ({holders}) => assignAllModels(holders),
 };
 
@@ -75,10 +75,10 @@
 		return assignAllModels(endpoints);
 	}
 
-	const currentModels = new Map(endpoints.map(holder => [holder.id, input.last?.get(holder.id) ?? findCurrentModel(holder, input)]));
+	const currentModels = new Map(endpoints.map(endpoint => [endpoint.id, input.last?.get(endpoint.id) ?? findCurrentModel(endpoint, input)]));
 	const shares = allocateEndpoints(models, input, currentModels);
 	const assignments = assignEndpoints(models, shares, input, currentModels);
-	return new Map(endpoints.flatMap(holder => assignments.has(holder) ? [[holder.id, [assignments.get(holder)!]]] : []));
+	return new Map(endpoints.flatMap(endpoint => assignments.has(endpoint) ? [[endpoint.id, [assignments.get(endpoint)!]]] : []));
 }
 
 /** Returns the model that an endpoint has followed so far: the only one whose version there is closest to its newest one; undefined if several are. */
@@ -140,15 +140,15 @@
 	const fill = (candidates: readonly ModelEndpoint[], countFree: (model: string) => number) => {
 		for (const isOwn of [true, false]) {
 			for (const model of models) {
-				const fit = candidates.filter(holder => !assignments.has(holder) && holder.versions.has(model) && (!isOwn || currentModels.get(holder.id) === model));
-				for (const holder of sortByRank(fit, model).slice(0, Math.max(0, countFree(model)))) {
-					assignments.set(holder, model);
+				const fit = candidates.filter(endpoint => !assignments.has(endpoint) && endpoint.versions.has(model) && (!isOwn || currentModels.get(endpoint.id) === model));
+				for (const endpoint of sortByRank(fit, model).slice(0, Math.max(0, countFree(model)))) {
+					assignments.set(endpoint, model);
 				}
 			}
 		}
 	};
 
-	const countAssigned = (model: string, among: readonly ModelEndpoint[]) => among.filter(holder => assignments.get(holder) === model).length;
+	const countAssigned = (model: string, among: readonly ModelEndpoint[]) => among.filter(endpoint => assignments.get(endpoint) === model).length;
 	fill(fast, model => fastShares.get(model)! - countAssigned(model, fast));
 	fill(others, model => shares.get(model)! - countAssigned(model, endpoints));
 	// Assigns the remaining fast endpoints where a model holds too few of the others.
@@ -158,7 +158,7 @@
 
 function sortByRank(endpoints: readonly ModelEndpoint[], model: string): ModelEndpoint[] {
 	return endpoints
-		.map(holder => ({holder, rank: rankCandidate(model, holder.id)}))
+		.map(endpoint => ({endpoint, rank: rankCandidate(model, endpoint.id)}))
 		.toSorted((a, b) => b.rank - a.rank)
-		.map(({holder}) => holder);
+		.map(({endpoint}) => endpoint);
 }
--- a/packages/decisions/src/regenerations.ts
+++ b/packages/decisions/src/regenerations.ts
@@ -29,8 +29,8 @@
  *
  * @param published - newest version of the weights
  */
-export function chooseRenewals(texts: readonly RegenerationCandidate[], published: number): string[] {
-	return texts
+export function chooseRenewals(generations: readonly RegenerationCandidate[], published: number): string[] {
+	return generations
 		.filter(({events, oldestVersion, isRenewed}) => !isRenewed && events >= minEvents && oldestVersion < published)
 		.toSorted((a, b) => b.events - a.events)
 		.map(({id}) => id);
--- a/packages/decisions/src/retry-after-plan.ts
+++ b/packages/decisions/src/retry-after-plan.ts
@@ -44,7 +44,7 @@
 		const now = performance.now();
 		const perMs = endpoints.reduce((sum, {slots, workMs = defaultWorkMs}) => sum + (slots / workMs), 0);
 		const intervalMs = returnIntervalFactor * (perMs > 0 ? 1 / perMs : defaultWorkMs);
-		const freeMs = endpoints.length === 0 ? defaultWorkMs : Math.min(...endpoints.map(room => estimateFreeSlotMs(room)));
+		const freeMs = endpoints.length === 0 ? defaultWorkMs : Math.min(...endpoints.map(endpoint => estimateFreeSlotMs(endpoint)));
 		const returnAt = Math.max(now + Math.max(minReturnMs, freeMs), this.#lastReturnAt + intervalMs);
 		const afterMs = Math.min(maxReturnMs, returnAt - now);
 		this.#lastReturnAt = now + afterMs;
--- a/packages/decisions/src/subsetting.ts
+++ b/packages/decisions/src/subsetting.ts
@@ -30,17 +30,17 @@
 	const subsets = new Map(entries.map(entry => [entry, [] as string[]]));
 	const entryCounts = new Map(endpoints.map(endpoint => [endpoint, 0]));
 	const pairs = listPairs(entries, endpoints);
-	const left = assignPairs(pairs, {degree, room: mean / slack}, subsets, entryCounts);
-	assignPairs(left, {degree, room: slack * mean}, subsets, entryCounts);
+	const left = assignPairs(pairs, {degree, capacity: mean / slack}, subsets, entryCounts);
+	assignPairs(left, {degree, capacity: slack * mean}, subsets, entryCounts);
 	return subsets;
 }
 
 /** Assigns the pairs in order while both sides have free capacity; returns the unassigned pairs. */
-function assignPairs(pairs: readonly Pair[], {degree, room}: {degree: number; room: number}, subsets: Map<string, string[]>, entryCounts: Map<string, number>): Pair[] {
+function assignPairs(pairs: readonly Pair[], {degree, capacity}: {degree: number; capacity: number}, subsets: Map<string, string[]>, entryCounts: Map<string, number>): Pair[] {
 	return pairs.filter(({entry, endpoint}) => {
 		const subset = subsets.get(entry)!;
 		const count = entryCounts.get(endpoint)!;
-		if (subset.length >= degree || count >= roundByName(room, endpoint)) {
+		if (subset.length >= degree || count >= roundByName(capacity, endpoint)) {
 			return true;
 		}
 
