--- a/packages/duties/__tests__/reference-clock.spec.ts
+++ b/packages/duties/__tests__/reference-clock.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import {TrueTime} from '../src/index.js';
 
-describe('TrueTime', () => {
+describe('ReferenceClock', () => {
 	let clock: Clock;
 	/** Reference time minus the store's clock, in milliseconds. */
 	const offsetMs = 900_000;
--- a/packages/record/src/index.ts
+++ b/packages/record/src/index.ts
@@ -1,4 +1,4 @@
-/** What must last, kept in the platform's table service and object store. */
+/** Durable records in the platform's table service and object store. */
 export * from './claim-log.js';
 export * from './configuration-history.js';
 export * from './crash-rows.js';
--- a/packages/record/src/settled-write.ts
+++ b/packages/record/src/settled-write.ts
@@ -1,5 +1,5 @@
 /**
- * Conditional writes with exactly-once effect, even if answers are lost.
+ * Conditional writes that are applied at most once, even if answers are lost.
  *
  * The store can apply a write and lose the answer. Each write therefore has an attempt id in
  * one of its rows, the witness. After an unknown answer the witness is read back; if it is
--- a/packages/record/src/table-follower.ts
+++ b/packages/record/src/table-follower.ts
@@ -13,7 +13,7 @@
 import {RowFaults} from './row-faults.js';
 
 /**
- * Default duration of one long poll for changes, in milliseconds. A silent connection is detected only at its end;
+ * Default maximum duration of one long poll for changes, in milliseconds. A silent connection is detected only at its end;
  * shorter polls cost more calls.
  */
 const defaultWaitMs = 1500;
@@ -43,7 +43,7 @@
 	/** Partitions that are read initially; changes of all partitions are followed. */
 	parts: readonly string[];
 	log: Log;
-	/** Duration of one long poll for changes, in milliseconds. */
+	/** Maximum duration of one long poll for changes, in milliseconds. */
 	waitMs?: number;
 	/**
 	 * Minimum time from received changes until the next call, in milliseconds; 0 by default. Rows that are written continuously, as
--- a/packages/slots/__tests__/divide-slots.spec.ts
+++ b/packages/slots/__tests__/divide-slots.spec.ts
@@ -39,7 +39,7 @@
 	});
 });
 
-describe('chooseHome', () => {
+describe('chooseCoordinator', () => {
 	const hosts = Array.from({length: 6}, (_, i) => ({
 		host: `h${i}`, address: `10.0.0.${i}:1`, dataCentre: i < 4 ? 'd' : 'e', cores: i === 0 ? 1.2 : 0.3, isResting: false, lateMs: 0, silentMs: 100,
 	}));
--- a/packages/slots/__tests__/fair-priority-queue.spec.ts
+++ b/packages/slots/__tests__/fair-priority-queue.spec.ts
@@ -33,7 +33,7 @@
 	return names.filter(other => other === name).length;
 }
 
-describe('WaitOrder', () => {
+describe('FairPriorityQueue', () => {
 	let queue: WaitOrder<string>;
 
 	beforeEach(() => {
--- a/packages/slots/__tests__/host-queue.spec.ts
+++ b/packages/slots/__tests__/host-queue.spec.ts
@@ -5,7 +5,7 @@
 /** Need for a slot of an endpoint in a pool. */
 type Need = {pool: string; lane: string};
 
-describe('HostLine', () => {
+describe('HostQueue', () => {
 	let clock: Clock;
 	let free: number;
 	let takes: number;
@@ -112,10 +112,10 @@
 
 	it('withdraws waiters at their deadline and when they are aborted, and takes no slot for them', async () => {
 		const answers: Record<string, SlotAnswer<string>['kind']> = {};
-		const leave = new AbortController();
-		wait(answers, 'left', {}, leave.signal);
+		const controller = new AbortController();
+		wait(answers, 'left', {}, controller.signal);
 		wait(answers, 'expired');
-		leave.abort();
+		controller.abort();
 		await clock.tickAsync(60);
 		await setFree(2);
 		expect([answers, free, queue.size]).to.deep.equal([{left: 'left', expired: 'expired'}, 2, 0]);
--- a/packages/slots/src/coordinator-choice.ts
+++ b/packages/slots/src/coordinator-choice.ts
@@ -15,7 +15,7 @@
 	dataCentre: string;
 	/** Cores that its process may use; 0 if unknown. */
 	cores: number;
-	/** Whether it has no work and therefore sends no heartbeats. */
+	/** Whether it owns no work and therefore sends no periodic heartbeats. */
 	isResting: boolean;
 	/** Recent event-loop lag, in milliseconds. */
 	lateMs: number;
