--- a/scripts/mutants.ts
+++ b/scripts/mutants.ts
@@ -33,8 +33,8 @@
 	{
 		name: 'usage is sent before it is fixed',
 		patches: [{
-			file: duties('usage-reporter'), find: 'const report = await store.fix({window, counts});',
-			replace: 'await this.#send({window, counts, isSent: false, version: 0});\n\t\tconst report = await store.fix({window, counts});',
+			file: duties('usage-reporter'), find: 'const report = await store.fixReport({window, counts});',
+			replace: 'await this.#send({window, counts, isSent: false, version: 0});\n\t\tconst report = await store.fixReport({window, counts});',
 		}],
 		specs: [usageSpec],
 	},
@@ -55,12 +55,12 @@
 	},
 	{
 		name: 'a holder does not see that its lease has lapsed',
-		patches: [{file: record('lease-holder'), find: 'return performance.now() + roomMs < this.#heldUntil &&', replace: 'return this.#heldUntil > 0 &&'}],
+		patches: [{file: record('lease-holder'), find: 'return performance.now() + effectMs < this.#heldUntil &&', replace: 'return this.#heldUntil > 0 &&'}],
 		specs: [recordSpec('lease-holder')],
 	},
 	{
 		name: 'an effect goes out though the lease ends before it arrives',
-		patches: [{file: record('lease-holder'), find: 'performance.now() + roomMs <', replace: 'performance.now() <'}],
+		patches: [{file: record('lease-holder'), find: 'performance.now() + effectMs <', replace: 'performance.now() <'}],
 		specs: [recordSpec('lease-holder')],
 	},
 	{
@@ -80,17 +80,17 @@
 	},
 	{
 		name: 'a lease is taken over without waiting for its term',
-		patches: [{file: record('lease-holder'), find: 'return this.#countMsToTakeOver() <= 0 && this.#pace.tryTake();', replace: 'return this.#pace.tryTake();'}],
+		patches: [{file: record('lease-holder'), find: 'return this.#getMsToTakeover() <= 0 && this.#takeoverLimit.tryTake();', replace: 'return this.#takeoverLimit.tryTake();'}],
 		specs: [recordSpec('lease-holder')],
 	},
 	{
 		name: 'the fence stays when the holder changes',
-		patches: [{file: record('lease-holder'), find: '(isOurs ? 0 : 1)', replace: '(this.#lease ? 0 : 1)'}],
+		patches: [{file: record('lease-holder'), find: '(isOwn ? 0 : 1)', replace: '(this.#lease ? 0 : 1)'}],
 		specs: [recordSpec('lease-holder')],
 	},
 	{
 		name: 'take-overs have no cap',
-		patches: [{file: record('take-over-pace'), find: 'this.#tokens -= 1;', replace: ''}],
+		patches: [{file: record('takeover-rate-limit'), find: 'this.#tokens -= 1;', replace: ''}],
 		specs: [recordSpec('lease-holder')],
 	},
 	{
@@ -100,7 +100,7 @@
 	},
 	{
 		name: 'a lost answer is taken for a success',
-		patches: [{file: record('settled-write'), find: 'isDoubtful = true;', replace: 'if (outcome === \'unknown\') {\n\t\t\treturn true;\n\t\t}\n\n\t\tisDoubtful = true;'}],
+		patches: [{file: record('settled-write'), find: 'mayBeApplied = true;', replace: 'if (outcome === \'unknown\') {\n\t\t\treturn true;\n\t\t}\n\n\t\tmayBeApplied = true;'}],
 		specs: [recordSpec('configuration-history'), recordSpec('sample-log')],
 	},
 	{
@@ -136,12 +136,12 @@
 	},
 	{
 		name: 'a call whose caller was told runs after all',
-		patches: [{file: systems('claimed-calls'), find: 'attempt.isOver ? {kind: \'released\'} : await', replace: 'await'}],
+		patches: [{file: systems('claimed-calls'), find: 'submission.isEnded ? {kind: \'released\'} : await', replace: 'await'}],
 		specs: [systemsSpec('claimed-calls')],
 	},
 	{
 		name: '"not run" is said while a claim may exist',
-		patches: [...unguarded, {file: systems('claimed-calls'), find: 'attempt.mayBeClaimed ? \'unknown\' : \'no\'', replace: '\'no\''}],
+		patches: [...unguarded, {file: systems('claimed-calls'), find: 'submission.mayBeClaimed ? \'unknown\' : \'no\'', replace: '\'no\''}],
 		specs: [systemsSpec('claimed-calls')],
 	},
 	{
@@ -151,7 +151,7 @@
 	},
 	{
 		name: 'a key may stand for two calls',
-		patches: [{file: systems('claimed-calls'), find: 'if (first.fingerprint !== attempt.call.fingerprint) {', replace: 'if (first.fingerprint === \'\') {'}],
+		patches: [{file: systems('claimed-calls'), find: 'if (first.fingerprint !== submission.call.fingerprint) {', replace: 'if (first.fingerprint === \'\') {'}],
 		specs: [systemsSpec('claimed-calls')],
 	},
 	{
