--- a/packages/direct/__tests__/call-line.spec.ts
+++ b/packages/direct/__tests__/call-queue.spec.ts
@@ -10,21 +10,21 @@
 const slots = 4;
 const objectiveMs = 150;
 
-/** Calls a second of each route on a usual day: a third of what the endpoints serve, together. */
-const quietRate = 80;
+/** Calls per second of each route without a burst; both routes together use a third of the endpoints' capacity. */
+const baseRate = 80;
 
 /** Time before the burst, in milliseconds. */
 const quietMs = 1000;
 
-/** What became of one call, and when. */
-type Ended = {route: string; kind: CallOutcome['kind']; tookMs: number};
+/** Outcome and duration of one call. */
+type EndedCall = {route: string; kind: CallOutcome['kind']; tookMs: number};
 
-/** Value below which a part of the values lies. */
+/** Returns the quantile of the values for a fraction in [0, 1). */
 function findQuantile(values: readonly number[], part: number): number {
 	return values.toSorted((a, b) => a - b)[Math.floor(values.length * part)] ?? 0;
 }
 
-describe('calls in the line of their host', () => {
+describe('calls in the wait queue of their host', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -35,13 +35,13 @@
 		clock.uninstall();
 	});
 
-	/** Sends calls of two routes for two seconds, after a quiet second; the rate is in calls a second. */
-	async function replay(burst: number): Promise<Ended[]> {
+	/** Sends calls of two routes for two seconds after a quiet second. `burst` is the rate of one of them, in calls per second. */
+	async function replay(burst: number): Promise<EndedCall[]> {
 		const bench = createBench(4);
 		const client = createQueueingClient(bench, slots, id => id === 'i0' ? 75 : 25);
 		const settings = {...bench, client, line: new EndpointLine(bench.directory)};
 		const random = new Random(7);
-		const ended: Ended[] = [];
+		const ended: EndedCall[] = [];
 		const burstAt = performance.now() + quietMs;
 		const send = async (route: Route) => {
 			const startedAt = performance.now();
@@ -52,7 +52,7 @@
 		};
 
 		for (let ms = 0; ms < quietMs + 2000; ms += 1) {
-			for (const [name, rate] of Object.entries({others: quietRate, burst: ms < quietMs ? quietRate : burst})) {
+			for (const [name, rate] of Object.entries({others: baseRate, burst: ms < quietMs ? baseRate : burst})) {
 				for (let left = rate / 1000; left > random.next(); left -= 1) {
 					void send(createRoute({name, objectiveMs, kind: 'non-idempotent'}));
 				}
@@ -66,12 +66,12 @@
 		return ended;
 	}
 
-	function listTimes(ended: readonly Ended[], route: string, kind: CallOutcome['kind'] = 'answered'): number[] {
+	function listTimes(ended: readonly EndedCall[], route: string, kind: CallOutcome['kind'] = 'answered'): number[] {
 		return ended.filter(call => call.route === route && call.kind === kind).map(({tookMs}) => tookMs);
 	}
 
-	/** Endpoints whose slots are all taken for a long time, and a line that has timed some calls. */
-	async function createFull(): Promise<{bench: Bench; call(path: string): Promise<CallOutcome>}> {
+	/** Creates an endpoint whose slots are all taken for a long time, and a queue with measured service times. */
+	async function createFullEndpoint(): Promise<{bench: Bench; call(path: string): Promise<CallOutcome>}> {
 		const bench = createBench(1);
 		const line = new EndpointLine(bench.directory);
 		const settings = {...bench, client: createQueueingClient(bench, slots, () => 10_000), line};
@@ -88,37 +88,37 @@
 		return {bench, call};
 	}
 
-	it('refuses within a quarter of the objective while all slots are taken, and runs nothing', async () => {
-		const {bench, call} = await createFull();
+	it('are refused within a quarter of the objective and not run while all slots are taken', async () => {
+		const {bench, call} = await createFullEndpoint();
 		const outcome = call('/x');
 		await clock.tickAsync(objectiveMs / 4);
 		const {kind} = await outcome;
 		expect([kind, bench.directory.countOpen('i0')]).to.deep.equal(['not-run', slots + 1]);
 	});
 
-	it('gives one that comes back the next slot, before newcomers', async () => {
-		const {bench, call} = await createFull();
+	it('get the next slot before new calls when they are retried after a refusal', async () => {
+		const {bench, call} = await createFullEndpoint();
 		const ended: string[] = [];
-		const note = async (name: string) => {
+		const record = async (name: string) => {
 			const {kind} = await call('/' + name);
 			ended.push(`${name} ${kind}`);
 		};
 
-		void note('back');
+		void record('back');
 		await clock.tickAsync(objectiveMs / 4);
-		void note('new');
+		void record('new');
 		await clock.tickAsync(1);
-		void note('back');
+		void record('back');
 		await clock.tickAsync(1);
 		bench.directory.release('i0');
 		await clock.tickAsync(objectiveMs / 4);
-		// The second try of the first has the slot and runs.
+		// The retry of the first call has the slot and runs.
 		expect(ended).to.deep.equal(['back not-run', 'new not-run']);
 	});
 
-	it('keeps the others as quick as usual in a burst of eight times on one route, with a quarter of the endpoints three times slower', async () => {
-		const quiet = await replay(quietRate);
-		const loud = await replay(8 * quietRate);
+	it('keep their usual latency on one route during an eightfold burst on another, with a quarter of the endpoints three times slower', async () => {
+		const quiet = await replay(baseRate);
+		const loud = await replay(8 * baseRate);
 		const others = loud.filter(({route}) => route === 'others');
 		expect(findQuantile(listTimes(loud, 'others'), 0.99)).to.be.at.most(2 * findQuantile(listTimes(quiet, 'others'), 0.99));
 		expect(listTimes(loud, 'others').length / others.length).to.be.at.least(0.99);
--- a/packages/direct/__tests__/call.spec.ts
+++ b/packages/direct/__tests__/call.spec.ts
@@ -33,14 +33,14 @@
 		return {outcome: new DirectCall(bench, route, createRequest(deadlineMs), leave.signal).run(), leave};
 	}
 
-	it('hands on the whole answer of one endpoint', async () => {
+	it('returns the complete answer of one endpoint', async () => {
 		const {outcome} = start();
 		await clock.tickAsync(20);
 		const {kind} = await outcome;
 		expect([kind, countRuns()]).to.deep.equal(['answered', 1]);
 	});
 
-	it('asks another endpoint when one refuses or can not be reached', async () => {
+	it('tries another endpoint when one refuses or is unreachable', async () => {
 		bench.endpoints[0]!.switches.isFull = true;
 		bench.endpoints[1]!.switches.isDown = true;
 		const outcomes = [start(), start(), start()].map(async ({outcome}) => outcome);
@@ -48,7 +48,7 @@
 		expect(await Promise.all(outcomes.map(async outcome => readKind(outcome)))).to.deep.equal(['answered', 'answered', 'answered']);
 	});
 
-	it('sends few requests a second time while a whole service is slow, and never one that must not run twice', async () => {
+	it('hedges few requests while a whole service is slow, and never a non-idempotent one', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.callMs = 400;
 		}
@@ -62,11 +62,11 @@
 		};
 
 		expect([await call('non-idempotent'), await call('idempotent')]).to.deep.equal([30, 63]);
-		// Thirty more first tries have earned three second ones.
+		// Thirty more first attempts add three hedged ones to the budget.
 		expect(await call('idempotent')).to.equal(96);
 	});
 
-	it('says that nothing has run only if that is so, and at once', async () => {
+	it('reports at once, and only if it is proven, that nothing has run', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.isFull = true;
 		}
@@ -77,7 +77,7 @@
 		expect(countRuns()).to.equal(0);
 	});
 
-	it('runs a non-idempotent request once, and says that its fate is unknown when the answer is lost', async () => {
+	it('runs a non-idempotent request once, and reports an unknown outcome when the answer is lost', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.answersToLose = 1;
 		}
@@ -87,7 +87,7 @@
 		expect([await readKind(outcome), countRuns()]).to.deep.equal(['unknown', 1]);
 	});
 
-	it('goes on with a non-idempotent request that was refused as not run', async () => {
+	it('retries a non-idempotent request that was refused as not run', async () => {
 		bench.endpoints[0]!.switches.isFull = true;
 		bench.endpoints[1]!.switches.isFull = true;
 		const {outcome} = start(createRoute({kind: 'non-idempotent'}));
@@ -106,7 +106,7 @@
 		expect(countRuns()).to.equal(2);
 	});
 
-	it('starts a second attempt elsewhere while the first is slow, and takes the first answer', async () => {
+	it('starts a hedged attempt at another endpoint while the first is slow, and returns the first answer', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.callMs = 5000;
 		}
@@ -124,7 +124,7 @@
 		expect(await readKind(outcome)).to.equal('answered');
 	});
 
-	it('answers by its deadline, and tells that the request may have run', async () => {
+	it('ends at its deadline, and reports that the request may have run', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.callMs = 5000;
 		}
@@ -134,7 +134,7 @@
 		expect(await outcome).to.deep.equal({kind: 'timeout', hasSent: true});
 	});
 
-	it('ends when the caller leaves', async () => {
+	it('ends when the caller disconnects', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.callMs = 5000;
 		}
@@ -146,7 +146,7 @@
 		expect(await readKind(outcome)).to.equal('stopped');
 	});
 
-	it('never asks an endpoint that is leaving', async () => {
+	it('never uses a draining endpoint', async () => {
 		for (const {id} of bench.endpoints) {
 			bench.directory.put({...bench.directory.get(id)!, isDraining: true});
 		}
@@ -156,7 +156,7 @@
 		expect(await readKind(outcome)).to.equal('not-run');
 	});
 
-	it('does not take the answer of another server at the same address', async () => {
+	it('rejects the answer of a different server at the same address', async () => {
 		bench = createBench(1);
 		bench.serving.add('a0', 'another');
 		const {outcome} = start();
--- a/packages/direct/__tests__/customer-fairness.spec.ts
+++ b/packages/direct/__tests__/customer-fairness.spec.ts
@@ -11,7 +11,7 @@
 const slots = 4;
 const workMs = 100;
 
-/** What the endpoints can serve, in requests a second. */
+/** Capacity of the endpoints, in requests per second. */
 const capacity = endpointCount * slots * 1000 / workMs;
 
 describe('customers that share a service', () => {
@@ -25,15 +25,15 @@
 		clock.uninstall();
 	});
 
-	async function expectServed(hasLine: boolean): Promise<void> {
+	async function expectFairShares(hasQueue: boolean): Promise<void> {
 		const bench = createBench(endpointCount);
-		const settings = {...bench, client: createQueueingClient(bench, slots, () => workMs), line: hasLine ? new EndpointLine(bench.directory) : undefined};
+		const settings = {...bench, client: createQueueingClient(bench, slots, () => workMs), line: hasQueue ? new EndpointLine(bench.directory) : undefined};
 		const random = new Random(7);
-		const asked = new Map<string, number>();
+		const requested = new Map<string, number>();
 		const served = new Map<string, number>();
 		const calls: Array<Promise<void>> = [];
 		const call = async (customer: string) => {
-			asked.set(customer, (asked.get(customer) ?? 0) + 1);
+			requested.set(customer, (requested.get(customer) ?? 0) + 1);
 			const outcome = await new DirectCall(settings, createRoute({maxAttempts: 2}), {...createRequest(800), customer}, new AbortController().signal).run();
 			if (outcome.kind === 'answered' && outcome.answer.status === 200) {
 				served.set(customer, (served.get(customer) ?? 0) + 1);
@@ -43,7 +43,7 @@
 		const until = performance.now() + 20_000;
 		while (performance.now() < until) {
 			calls.push(call(random.next() < 0.5 ? 'great' : `c${Math.floor(random.next() * 84)}`));
-			// Each arrival follows the one before.
+			// Arrivals are sequential in time.
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(random.exponential(1000 / (2 * capacity)));
 		}
@@ -51,19 +51,19 @@
 		await clock.tickAsync(2000);
 		await Promise.all(calls);
 		const sum = (counts: Map<string, number>) => [...counts.values()].reduce((total, count) => total + count, 0);
-		const all = sum(served) / sum(asked);
-		expect(asked.size).to.equal(85);
+		const all = sum(served) / sum(requested);
+		expect(requested.size).to.equal(85);
 		expect(all).to.be.above(0.4);
-		for (const [customer, count] of asked) {
+		for (const [customer, count] of requested) {
 			expect((served.get(customer) ?? 0) / count, customer).to.be.above(all / 4);
 		}
 	}
 
-	it('are each served a quarter as often as all, while one of 85 sends half of twice what fits', async () => {
-		await expectServed(false);
+	it('each get at least a quarter of the mean success rate while one of 85 sends half of a load of twice the capacity', async () => {
+		await expectFairShares(false);
 	});
 
-	it('are so as well where they wait in the line of their host', async () => {
-		await expectServed(true);
+	it('get as much where their calls wait in the queue of their host', async () => {
+		await expectFairShares(true);
 	});
 });
--- a/packages/direct/__tests__/endpoint-directory.spec.ts
+++ b/packages/direct/__tests__/endpoint-directory.spec.ts
@@ -23,7 +23,7 @@
 		clock.uninstall();
 	});
 
-	it('begins anew with an endpoint that has started again under its name: versions, pace, pauses', () => {
+	it('resets versions, pace and pauses of an endpoint that has restarted under its id', () => {
 		directory.put(createEndpoint({orderCount: 3, models: [{model: 'm', version: 4}]}));
 		directory.recordFailure('i');
 		for (let i = 0; i < 10; i += 1) {
@@ -38,7 +38,7 @@
 		expect(directory.acquire({service: 's'})?.id).to.equal('i');
 	});
 
-	it('leaves out what the policy switches off: moves, pauses after refusals and silences, preference by pace', () => {
+	it('disables moves, pauses after refusals and silences, and preference by pace by policy', () => {
 		const refusal = {
 			status: 503, headers: {}, isNotRun: true, stamp: undefined, load: undefined, weightVersion: undefined, isFramed: true, isClosing: false,
 		};
@@ -61,18 +61,18 @@
 			return id;
 		})).size;
 		expect([prepare({prefersConnected: false}), prepare({prefersConnected: false, weighsPaces: false})].map(one => chosen(one))).to.deep.equal([1, 2]);
-		const [pausing, asking] = [prepare({}), prepare({pausesAfterRefusals: false, pausesAfterSilences: false})];
-		for (const one of [pausing, asking]) {
+		const [pausing, retrying] = [prepare({}), prepare({pausesAfterRefusals: false, pausesAfterSilences: false})];
+		for (const one of [pausing, retrying]) {
 			for (const id of ['i', 'slow']) {
 				one.recordHead(id, refusal);
 				one.recordSilence(id);
 			}
 		}
 
-		expect([pausing.acquire({service: 's'}), asking.acquire({service: 's'})?.service]).to.deep.equal([undefined, 's']);
+		expect([pausing.acquire({service: 's'}), retrying.acquire({service: 's'})?.service]).to.deep.equal([undefined, 's']);
 	});
 
-	it('tells refused callers to come back one after the other, at the rate at which the service drains', () => {
+	it('spreads the retry times of refused callers by the rate at which the service frees slots', () => {
 		directory.put(createEndpoint({slots: 2}));
 		for (let i = 0; i < 30; i += 1) {
 			directory.recordPace('i', 100);
@@ -84,7 +84,7 @@
 		expect(directory.planRetryAfterMs('other')).to.equal(100);
 	});
 
-	it('keeps away from a plain endpoint whose machine is disturbed, for as long as the disturbance lasts', () => {
+	it('avoids an endpoint that reports transient slowness, until the slowness ends', () => {
 		directory = new EndpointDirectory(new Random(1), {...defaultPolicy, prefersConnected: false});
 		for (const id of ['a', 'b', 'c']) {
 			directory.put(createEndpoint({id}));
@@ -108,13 +108,13 @@
 		expect([...choose()]).to.include('a');
 	});
 
-	it('keeps what it knows of an endpoint that registers again without having started again', () => {
+	it('keeps the state of an endpoint that registers again without a restart', () => {
 		directory.put(createEndpoint({orderCount: 3, models: [{model: 'm', version: 4}]}));
 		directory.put(createEndpoint({orderCount: 3, models: [{model: 'm', version: 3}]}));
 		expect(directory.findVersion('i', 'm')).to.equal(4);
 	});
 
-	it('learns the best pace of an endpoint from other processes, and forgets it', async () => {
+	it('records the best pace that other processes report of an endpoint, and expires it', async () => {
 		directory.put(createEndpoint());
 		directory.learnPaces({i: 47, unknown: 30});
 		expect(directory.findBestPaceMs('i')).to.equal(47);
@@ -123,22 +123,22 @@
 		expect(directory.findBestPaceMs('i')).to.equal(undefined);
 	});
 
-	it('tells of all endpoints that it has measured, by turns where they are too many for once', () => {
+	it('reports all endpoints that it has measured, in rotation if they exceed one report', () => {
 		const ids = ['a', 'b', 'c', 'd', 'e'];
 		for (const [i, id] of ids.entries()) {
 			directory.put(createEndpoint({id}));
 			directory.recordRunPace(id, 40 + i);
 		}
 
-		expect([...new Set([2, 2, 2].flatMap(most => Object.keys(directory.listOwnPaces(most))))].toSorted()).to.deep.equal(ids);
+		expect([...new Set([2, 2, 2].flatMap(maxCount => Object.keys(directory.listOwnPaces(maxCount))))].toSorted()).to.deep.equal(ids);
 		expect(Object.keys(directory.listOwnPaces(9))).to.have.length(5);
 	});
 
-	it('tells the best of its own paces, not one of a slow spell', async () => {
+	it('reports the best of its own paces, not one of a slow episode', async () => {
 		directory.put(createEndpoint());
 		for (const paceMs of [40, 150]) {
 			directory.recordRunPace('i', paceMs);
-			// Runs follow one another.
+			// Runs are sequential.
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(20 * paceMs);
 		}
@@ -146,65 +146,65 @@
 		expect(directory.listOwnPaces(5)).to.deep.equal({i: 40});
 	});
 
-	it('learns no pace and moves no run while this process is late with its own work', () => {
-		const lateness = new Lateness();
-		const late = new EndpointDirectory(new Random(1), defaultPolicy, lateness);
-		late.put(createEndpoint());
-		late.put(createEndpoint({id: 'slow'}));
+	it('records no pace and moves no run while the event loop of this process lags', () => {
+		const eventLoopLag = new Lateness();
+		const lagging = new EndpointDirectory(new Random(1), defaultPolicy, eventLoopLag);
+		lagging.put(createEndpoint());
+		lagging.put(createEndpoint({id: 'slow'}));
 		const record = (slowMs: number) => {
 			for (let i = 0; i < 30; i += 1) {
-				late.recordPace('i', 40);
-				late.recordPace('slow', slowMs);
+				lagging.recordPace('i', 40);
+				lagging.recordPace('slow', slowMs);
 			}
 		};
 
-		lateness.record(50);
+		eventLoopLag.record(50);
 		record(300);
-		expect(late.findBestPaceMs('slow')).to.equal(undefined);
-		expect(late.findLastReceivedAt('slow')).to.equal(performance.now());
+		expect(lagging.findBestPaceMs('slow')).to.equal(undefined);
+		expect(lagging.findLastReceivedAt('slow')).to.equal(performance.now());
 		for (let i = 0; i < 6; i += 1) {
-			lateness.record(0);
+			eventLoopLag.record(0);
 		}
 
 		record(160);
-		expect(late.acquireBetter('slow', {service: 's'}, false)).not.to.equal(undefined);
-		lateness.record(50);
-		expect(late.acquireBetter('slow', {service: 's'}, false)).to.equal(undefined);
+		expect(lagging.acquireBetter('slow', {service: 's'}, false)).not.to.equal(undefined);
+		eventLoopLag.record(50);
+		expect(lagging.acquireBetter('slow', {service: 's'}, false)).to.equal(undefined);
 	});
 
-	it('fills its own endpoints, and others one attempt at a time until they tell that they have room', () => {
+	it('fills dedicated endpoints, and probes others with one attempt at a time until they report headroom', () => {
 		for (const id of ['home', 'b', 'c']) {
 			directory.put(createEndpoint({id}));
 		}
 
-		const need = {service: 's', dedicated: new Set(['home']), openLimit: 1};
-		const take = () => directory.acquire(need)?.id;
-		expect([take(), take(), take(), take()]).to.deep.equal(['home', 'home', 'home', 'home']);
-		const other = take()!;
+		const requirement = {service: 's', dedicated: new Set(['home']), openLimit: 1};
+		const acquire = () => directory.acquire(requirement)?.id;
+		expect([acquire(), acquire(), acquire(), acquire()]).to.deep.equal(['home', 'home', 'home', 'home']);
+		const other = acquire()!;
 		expect(['b', 'c']).to.include(other);
 		clock.tick(50);
-		expect(take()).to.equal(undefined);
+		expect(acquire()).to.equal(undefined);
 		const head = {
 			status: 200, headers: {}, isNotRun: false, stamp: undefined, weightVersion: 1, isFramed: true, isClosing: false,
 		};
-		// None of its four slots is taken by others, so that half of them may be used.
+		// Other processes use none of its four slots, so half of them may be used.
 		directory.recordHead(other, {...head, load: {running: 1, waiting: 0, slots: 4}});
-		// One more fits there, and one may find out about the last endpoint.
-		const [last, again] = [take()!, take()!].toSorted((x, y) => Number(x === other) - Number(y === other));
+		// One more attempt fits there, and one may probe the last endpoint.
+		const [last, again] = [acquire()!, acquire()!].toSorted((x, y) => Number(x === other) - Number(y === other));
 		expect(again).to.equal(other);
 		expect(last).to.equal(other === 'b' ? 'c' : 'b');
-		expect(take()).to.equal(undefined);
+		expect(acquire()).to.equal(undefined);
 		clock.tick(50);
 		directory.recordHead(last!, {...head, load: {running: 4, waiting: 2, slots: 4}});
-		expect(take()).to.equal(undefined);
+		expect(acquire()).to.equal(undefined);
 		clock.tick(1100);
-		// What was told is too old by now; only where nothing of its own is open may it find out again.
-		expect(take()).to.equal(undefined);
+		// The load reports have expired; only an endpoint without open attempts of this process may be probed again.
+		expect(acquire()).to.equal(undefined);
 		directory.release(last!);
-		expect(take()).to.equal(last);
+		expect(acquire()).to.equal(last);
 	});
 
-	it('takes no endpoint for slow that is disturbed for a moment, and one that is lastingly', () => {
+	it('counts persistently slow endpoints as slow, but not transiently slow ones', () => {
 		const paces: Record<string, number> = {a: 25, b: 25, c: 36};
 		for (const [id, paceMs] of Object.entries(paces)) {
 			directory.put(createEndpoint({id, address: id}));
@@ -218,12 +218,12 @@
 				running: 1, waiting: 0, slots: 4, slowness: 1.4,
 			},
 		});
-		const need = {service: 's', avoidsSlow: true, excluded: new Set(['a', 'b'])};
-		expect(directory.acquire(need)?.id).to.equal('c');
+		const requirement = {service: 's', avoidsSlow: true, excluded: new Set(['a', 'b'])};
+		expect(directory.acquire(requirement)?.id).to.equal('c');
 		for (let i = 0; i < 40; i += 1) {
 			directory.recordPace('c', 75);
 		}
 
-		expect(directory.acquire(need)).to.equal(undefined);
+		expect(directory.acquire(requirement)).to.equal(undefined);
 	});
 });
--- a/packages/direct/__tests__/fixtures.ts
+++ b/packages/direct/__tests__/fixtures.ts
@@ -1,4 +1,4 @@
-/** Endpoints in memory with a directory that knows them. */
+/** Test fixtures: in-memory endpoints that are registered in a directory, routes, requests and samples. */
 import {createSilentLog, Random, type Route} from '@wasabiusher/shared';
 import {MemoryServing, type MemoryEndpoint} from '@wasabiusher/standins';
 import {
--- a/packages/direct/__tests__/load-news.spec.ts
+++ b/packages/direct/__tests__/load-announcements.spec.ts
@@ -7,10 +7,10 @@
 import {EndpointDirectory, LoadNews, WeightOrders} from '../src/index.js';
 import {createBench} from './fixtures.js';
 
-const need = {service: 's', oldestVersion: {model: 'm', version: 1}};
+const requirement = {service: 's', oldestVersion: {model: 'm', version: 1}};
 const load = {endpoint: 'i0', model: 'm', version: 2};
 
-describe('LoadNews', () => {
+describe('LoadAnnouncements', () => {
 	let clock: Clock;
 	let store: MemoryRowStore;
 
@@ -23,7 +23,7 @@
 		clock.uninstall();
 	});
 
-	function createNews(writer: string, onLoad: (endpoint: string, forMs: number) => void = () => undefined) {
+	function createAnnouncements(writer: string, onLoad: (endpoint: string, forMs: number) => void = () => undefined) {
 		return new LoadNews({
 			rows: store, table: 't', part: 'p', writer, log: createSilentLog(), onLoad(load, forMs) {
 				onLoad(load.endpoint, forMs);
@@ -36,37 +36,37 @@
 		return rows;
 	}
 
-	it('tells loads that are ordered together by one row, and others within 50 ms', async () => {
-		const news = createNews('a');
-		const heard: Array<[string, number]> = [];
-		const other = createNews('b', (endpoint, forMs) => {
-			heard.push([endpoint, forMs]);
+	it('announces loads that are ordered together in one row, and later ones within 50 ms', async () => {
+		const announcements = createAnnouncements('a');
+		const received: Array<[string, number]> = [];
+		const other = createAnnouncements('b', (endpoint, forMs) => {
+			received.push([endpoint, forMs]);
 		});
-		news.tell(load, 1000);
-		news.tell({...load, endpoint: 'i1'}, 1000);
+		announcements.tell(load, 1000);
+		announcements.tell({...load, endpoint: 'i1'}, 1000);
 		await clock.tickAsync(6);
-		news.tell({...load, endpoint: 'i2'}, 1000);
+		announcements.tell({...load, endpoint: 'i2'}, 1000);
 		await clock.tickAsync(50);
 		const rows = await readRows();
 		for (const row of rows) {
 			other.apply(row);
-			news.apply(row);
+			announcements.apply(row);
 		}
 
 		expect(rows).to.have.length(2);
-		expect(heard).to.deep.equal([['i0', 1000], ['i1', 1000], ['i2', 1000]]);
-		expect(news.counts).to.include({loadRows: 2, loadsHeard: 0});
+		expect(received).to.deep.equal([['i0', 1000], ['i1', 1000], ['i2', 1000]]);
+		expect(announcements.counts).to.include({loadRows: 2, loadsHeard: 0});
 	});
 
-	it('goes on without a store, and counts rows that another writer has spoilt', async () => {
-		const news = createNews('a');
+	it('continues without a store, and counts unreadable rows of other writers', async () => {
+		const announcements = createAnnouncements('a');
 		store.switches.isDown = true;
-		news.tell(load, 1000);
+		announcements.tell(load, 1000);
 		await clock.tickAsync(10);
-		news.apply({
+		announcements.apply({
 			table: 't', part: 'p', key: '0', version: 1, value: Buffer.from('{"loads":[7]}'),
 		});
-		expect(news.counts).to.deep.equal({
+		expect(announcements.counts).to.deep.equal({
 			loadRows: 0, loadRowsFailed: 1, loadsHeard: 0, loadRowsUnreadable: 1,
 		});
 	});
@@ -83,55 +83,55 @@
 		clock.uninstall();
 	});
 
-	it('leaves out an endpoint for the model that it loads, until it serves or the time has passed', async () => {
+	it('skips an endpoint for the model that it loads, until it serves the version or the load expires', async () => {
 		const {directory} = createBench(1);
 		directory.loads.note(load, 1000);
-		expect(directory.acquire(need)).to.equal(undefined);
-		expect(directory.acquire({...need, oldestVersion: {model: 'other', version: 0}})?.id).to.equal('i0');
+		expect(directory.acquire(requirement)).to.equal(undefined);
+		expect(directory.acquire({...requirement, oldestVersion: {model: 'other', version: 0}})?.id).to.equal('i0');
 		directory.recordVersion('i0', 'm', 2);
-		expect(directory.acquire(need)?.id).to.equal('i0');
+		expect(directory.acquire(requirement)?.id).to.equal('i0');
 		directory.loads.note({...load, version: 3}, 1000);
 		await clock.tickAsync(1000);
-		expect(directory.acquire(need)?.id).to.equal('i0');
+		expect(directory.acquire(requirement)?.id).to.equal('i0');
 	});
 
-	it('believes no news for long, none of a version that is served, and none with the policy off', async () => {
+	it('limits the time of an announcement, and ignores one of a served version or with the policy disabled', async () => {
 		const {directory, endpoints: [{id}]} = createBench(1) as ReturnType<typeof createBench> & {endpoints: [{id: string}]};
 		directory.loads.note(load, 1e9);
 		await clock.tickAsync(3000);
-		expect(directory.acquire(need)?.id).to.equal(id);
+		expect(directory.acquire(requirement)?.id).to.equal(id);
 		directory.loads.note({...load, version: 1}, 1000);
-		expect(directory.acquire(need)?.id).to.equal(id);
+		expect(directory.acquire(requirement)?.id).to.equal(id);
 		const plain = new EndpointDirectory(new Random(1), {...defaultPolicy, tellsLoads: false});
 		plain.put(directory.get(id)!);
 		plain.loads.note(load, 1000);
-		expect(plain.acquire(need)?.id).to.equal(id);
+		expect(plain.acquire(requirement)?.id).to.equal(id);
 	});
 
-	it('learns by a refusal of an endpoint with free slots that it loads what was published', async () => {
+	it('detects a load of a published version by a refusal of an endpoint with free slots', async () => {
 		const refusal = {
 			status: 503, headers: {}, isNotRun: true, stamp: undefined, load: {running: 1, waiting: 0, slots: 4}, weightVersion: undefined, isFramed: true, isClosing: false,
 		};
 		const findAfter = async (published: number, running: number) => {
 			const {directory} = createBench(1);
 			directory.loads.recordPublished('m', published);
-			directory.acquire(need);
+			directory.acquire(requirement);
 			directory.recordHead('i0', {...refusal, load: {...refusal.load, running}}, 'm');
 			directory.release('i0');
 			await clock.tickAsync(200);
-			return directory.acquire(need)?.id;
+			return directory.acquire(requirement)?.id;
 		};
 
 		expect([await findAfter(2, 1), await findAfter(1, 1), await findAfter(2, 4)]).to.deep.equal([undefined, 'i0', 'i0']);
 	});
 
-	it('hears of each order as it is given, and that it was not taken', async () => {
+	it('is notified of each order when it is sent, and when it was not taken', async () => {
 		const bench = createBench(2);
-		const told: Array<[string, boolean]> = [];
+		const announced: Array<[string, boolean]> = [];
 		const orders = new WeightOrders({
 			directory: bench.directory, client: bench.client, right: {fence: 1, holds: () => true}, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 			tellLoad({endpoint}, forMs) {
-				told.push([endpoint, forMs > 0]);
+				announced.push([endpoint, forMs > 0]);
 			},
 		});
 		bench.endpoints[0]!.isBusy = true;
@@ -143,6 +143,6 @@
 			await clock.tickAsync(50);
 		}
 
-		expect(told.slice(0, 2)).to.deep.equal([['i0', true], ['i0', false]]);
+		expect(announced.slice(0, 2)).to.deep.equal([['i0', true], ['i0', false]]);
 	});
 });
--- a/packages/direct/__tests__/queueing-client.ts
+++ b/packages/direct/__tests__/queueing-client.ts
@@ -1,9 +1,9 @@
-/** Endpoints that let a few requests wait, take some time for each, refuse what is beyond, and tell their load. */
+/** A client of simulated endpoints that queue a few requests, take a fixed time for each, refuse further ones and report their load. */
 import PQueue from 'p-queue';
 import type {EndpointTarget, ServingAnswer, ServingClient} from '@wasabiusher/backends';
 import type {Bench} from './fixtures.js';
 
-/** Requests that an endpoint lets wait. */
+/** Maximum number of requests in an endpoint's queue. */
 const queueLength = 4;
 
 export function createQueueingClient(bench: Bench, slots: number, findWorkMs: (id: string) => number): ServingClient {
--- a/packages/direct/__tests__/restart-watch.spec.ts
+++ b/packages/direct/__tests__/restart-watch.spec.ts
@@ -6,7 +6,7 @@
 	createBench, createRequest, createRoute, createSample, type Bench,
 } from './fixtures.js';
 
-describe('an endpoint that starts again under its id', () => {
+describe('an endpoint that restarts under its id', () => {
 	let clock: Clock;
 	let bench: Bench;
 
@@ -24,7 +24,7 @@
 		bench.directory.put({...bench.directory.get('i0')!, ...changes});
 	}
 
-	it('is known by its start alone: nothing believed of the earlier one holds, though as many orders were accepted', () => {
+	it('is identified by its start time: the state of the previous incarnation is discarded, even if the order counts are equal', () => {
 		const {directory} = bench;
 		directory.recordVersion('i0', 'm', 7);
 		directory.recordRunPace('i0', 120);
@@ -34,7 +34,7 @@
 		expect(directory.acquire({service: 's', excluded: new Set(['i1'])})?.id).to.equal('i0');
 	});
 
-	it('does not come back to the former start by what that one wrote late', () => {
+	it('ignores a late registration of the previous incarnation', () => {
 		register({bornMs: 200, orderCount: 0, models: [{model: 'm', version: 3}]});
 		register({
 			bornMs: 100, orderCount: 9, isDraining: true, models: [{model: 'm', version: 9}],
@@ -43,7 +43,7 @@
 		expect(bench.directory.findVersion('i0', 'm')).to.equal(3);
 	});
 
-	it('stays draining within one start, whatever is written late, and serves after the next', () => {
+	it('stays draining within one incarnation despite late registrations, and serves after a restart', () => {
 		register({isDraining: true});
 		register({isDraining: false});
 		expect(bench.directory.get('i0')!.isDraining).to.equal(true);
@@ -51,21 +51,21 @@
 		expect(bench.directory.get('i0')!.isDraining).to.equal(false);
 	});
 
-	it('keeps count of what is open at the new start when attempts at the earlier one end', () => {
+	it('counts open attempts at the new incarnation correctly when attempts at the previous one end', () => {
 		const {directory} = bench;
-		const need = {service: 's', excluded: new Set(['i1'])};
-		directory.acquire(need);
+		const requirement = {service: 's', excluded: new Set(['i1'])};
+		directory.acquire(requirement);
 		register({bornMs: 200});
 		directory.release('i0');
 		expect(directory.countOpen('i0')).to.equal(0);
-		directory.acquire(need);
+		directory.acquire(requirement);
 		expect(directory.countOpen('i0')).to.equal(1);
 		directory.release('i0');
 		expect(directory.countOpen('i0')).to.equal(0);
 	});
 
-	/** Lets the registration vanish for longer than the endpoint is asked without one. */
-	async function lapse(): Promise<RegisteredEndpoint> {
+	/** Removes the registration for longer than the endpoint is used without one. */
+	async function lapseRegistration(): Promise<RegisteredEndpoint> {
 		const {directory} = bench;
 		const endpoint = directory.get('i0')!;
 		directory.remove('i0');
@@ -74,32 +74,32 @@
 		return endpoint;
 	}
 
-	it('is the same once its registration is back after a lapse: what is open there counts on, and it stays draining', async () => {
+	it('keeps its open attempts and its draining state when its registration returns after a lapse', async () => {
 		const {directory} = bench;
-		const need = {service: 's', excluded: new Set(['i1'])};
-		directory.acquire(need);
-		directory.acquire(need);
-		const endpoint = await lapse();
+		const requirement = {service: 's', excluded: new Set(['i1'])};
+		directory.acquire(requirement);
+		directory.acquire(requirement);
+		const endpoint = await lapseRegistration();
 		directory.release('i0');
 		directory.put(endpoint);
 		expect(directory.countOpen('i0')).to.equal(1);
 		directory.put({...endpoint, isDraining: true});
-		await lapse();
+		await lapseRegistration();
 		directory.put({...endpoint, isDraining: false});
 		expect(directory.get('i0')!.isDraining).to.equal(true);
 	});
 
-	it('is told as a new start though its registration had lapsed meanwhile', async () => {
+	it('triggers a restart notification even if its registration has lapsed in between', async () => {
 		let restarts = 0;
 		bench.directory.onRestart('i0', () => {
 			restarts += 1;
 		});
-		const endpoint = await lapse();
+		const endpoint = await lapseRegistration();
 		bench.directory.put({...endpoint, bornMs: 200});
 		expect(restarts).to.equal(1);
 	});
 
-	it('has a dark run go on elsewhere at once, and is not blamed for it', async () => {
+	it('lets an unresponsive run resume at another endpoint at once, without counting a failure', async () => {
 		const {directory, endpoints} = bench;
 		endpoints[0]!.switches.isDark = true;
 		directory.pause('i1', 50);
@@ -115,7 +115,7 @@
 		expect(directory.acquire({service: 's', excluded: new Set(['i1'])})?.id).to.equal('i0');
 	});
 
-	it('answers a call that may not run twice with "unknown" at once, and sends one that may to another endpoint', async () => {
+	it('ends a non-idempotent call with "unknown" at once, and lets an idempotent one move to another endpoint', async () => {
 		const outcomes = await Promise.all((['non-idempotent', 'idempotent'] as const).map(async kind => {
 			const {directory, endpoints, ...settings} = createBench(2);
 			directory.put({...directory.get('i0')!, bornMs: 100});
@@ -130,7 +130,7 @@
 		expect(outcomes.map(({kind}) => kind)).to.deep.equal(['unknown', 'answered']);
 	});
 
-	it('is not ordered by the report of another start than the registered one', async () => {
+	it('gets no order based on the report of an incarnation other than the registered one', async () => {
 		const {directory, client, log, endpoints} = bench;
 		const orders = new WeightOrders({
 			directory, client, right: {fence: 1, holds: () => true}, holder: 'a', log, chooseMode: () => 'continue',
--- a/packages/direct/__tests__/run-meter.spec.ts
+++ b/packages/direct/__tests__/run-meter.spec.ts
@@ -5,7 +5,7 @@
 	createBench, createRequest, createRoute, type Bench,
 } from './fixtures.js';
 
-/** Counts by customer. */
+/** Counts requests by customer. */
 class Counter implements RunMeter {
 	readonly counts = new Map<string, number>();
 
@@ -23,7 +23,7 @@
 	}
 }
 
-describe('what counts as begun', () => {
+describe('the count of begun requests', () => {
 	let clock: Clock;
 	let bench: Bench;
 	let meter: Counter;
@@ -45,12 +45,12 @@
 		await outcome;
 	}
 
-	it('is a request that was answered, once', async () => {
+	it('includes an answered request once', async () => {
 		await call('x');
 		expect([...meter.counts]).to.deep.equal([['x', 1]]);
 	});
 
-	it('is one request, however many endpoints were asked', async () => {
+	it('includes a request once for any number of endpoints that were tried', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.callMs = 80;
 		}
@@ -60,7 +60,7 @@
 		expect([...meter.counts]).to.deep.equal([['x', 1]]);
 	});
 
-	it('is not what every endpoint has proven not to have run', async () => {
+	it('excludes a request that every endpoint has proven not to have run', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.isFull = true;
 		}
@@ -69,7 +69,7 @@
 		expect([...meter.counts]).to.deep.equal([['x', 0]]);
 	});
 
-	it('is what ran after others had refused it, and what ran and lost its answer', async () => {
+	it('includes a request that ran after refusals and lost its answer', async () => {
 		bench.endpoints[0]!.switches.isFull = true;
 		bench.endpoints[1]!.switches.isDown = true;
 		bench.endpoints[2]!.switches.answersToLose = 1;
@@ -77,12 +77,12 @@
 		expect([...meter.counts]).to.deep.equal([['x', 1]]);
 	});
 
-	it('is not a request of nobody\'s', async () => {
+	it('excludes a request without a customer', async () => {
 		await call(undefined);
 		expect([...meter.counts]).to.deep.equal([]);
 	});
 
-	it('is a stream that has begun, and not one that was refused', async () => {
+	it('includes a stream that has begun, and excludes one that was refused', async () => {
 		const request = {...createRequest(), customer: 'x'};
 		const opened = new StreamCall(bench, createRoute({kind: 'stream'}), request, new AbortController().signal).open();
 		await clock.tickAsync(50);
--- a/packages/direct/__tests__/sample-run.spec.ts
+++ b/packages/direct/__tests__/sample-run.spec.ts
@@ -43,19 +43,19 @@
 		return outcome.kind === 'made' ? outcome.text.events : [];
 	}
 
-	it('gathers every event once, with the versions that made them', async () => {
+	it('collects every event once, with the versions that generated them', async () => {
 		const outcome = await run();
 		expect(readEvents(outcome)).to.deep.equal(['s1#1', 's1#2', 's1#3', 's1#4', 's1#5']);
 		expect(outcome.kind === 'made' && [...outcome.text.versions]).to.deep.equal([1]);
 	});
 
-	it('asks with the urgency of its route, and as the last of all where nobody waits for it', async () => {
+	it('uses the urgency of its route, or the lowest one if nothing waits for it', async () => {
 		await run();
 		await run({avoidsFull: true});
 		expect(listRuns().map(({urgency}) => urgency)).to.have.members([createRoute().priority, 9]);
 	});
 
-	it('goes on elsewhere after the last whole event when a run breaks', async () => {
+	it('resumes at another endpoint after the last complete event when a run breaks', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.breakAfter = 2;
 		}
@@ -65,7 +65,7 @@
 		expect(listRuns().map(({resumeAfter}) => resumeAfter)).to.include(2);
 	});
 
-	it('does not take a run without a length for whole, and finds what is missing', async () => {
+	it('does not treat a run without a length as complete, and fetches the missing events', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.unframed = 1;
 		}
@@ -74,21 +74,21 @@
 		expect(readEvents(outcome)).to.deep.equal(['s1#1', 's1#2', 's1#3', 's1#4', 's1#5']);
 	});
 
-	it('goes on from a text that an earlier owner has left', async () => {
+	it('resumes the retained text of an earlier owner', async () => {
 		const outcome = await run({}, 10_000, {events: ['s1#1', 's1#2'], versions: new Set([1])});
 		expect(readEvents(outcome)).to.have.length(5);
 		expect(listRuns().map(({resumeAfter}) => resumeAfter)).to.deep.equal([2]);
 	});
 
-	it('goes on elsewhere soon after an endpoint has gone dark in the middle of a text, and asks it with one attempt at a time', async () => {
+	it('resumes at another endpoint soon after its endpoint stops responding, and probes that one with one attempt at a time', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.eventMs = 40;
 			switches.events = 50;
 		}
 
-		const dark = bench.endpoints[0]!;
+		const unresponsive = bench.endpoints[0]!;
 		setTimeout(() => {
-			dark.switches.isDark = true;
+			unresponsive.switches.isDark = true;
 		}, 600);
 		bench.directory.pause('i1', 100);
 		const outcome = await run({}, 4200);
@@ -96,7 +96,7 @@
 		expect(listRuns().map(({resumeAfter}) => resumeAfter)).to.deep.equal([undefined, 14]);
 	});
 
-	it('leaves a run alone that waits for its turn while others at the same endpoint go on', async () => {
+	it('does not abort a queued run while other runs at the same endpoint continue', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.eventMs = 3000;
 			switches.events = 2;
@@ -113,7 +113,7 @@
 		expect(listRuns()).to.have.length(1);
 	});
 
-	it('tells the pace of a run as a whole, not that of events that come at once after a pause on the way', async () => {
+	it('records the mean pace of a run, not the pace of events that arrive together after a network pause', async () => {
 		for (const endpoint of bench.endpoints) {
 			endpoint.switches.eventMs = 40;
 			endpoint.switches.events = 60;
@@ -131,8 +131,8 @@
 		expect(bench.endpoints.flatMap(({id}) => bench.directory.findBestPaceMs(id) ?? [])).to.deep.equal([40]);
 	});
 
-	it('goes on at a faster endpoint only where it would be late otherwise, and begins there if it can', async () => {
-		const play = async (events: number, pauseMs: number) => {
+	it('moves to a faster endpoint only if it would be late otherwise, and begins there if possible', async () => {
+		const runOn = async (events: number, pauseMs: number) => {
 			bench = createBench(2);
 			bench.directory.learnPaces({i0: 56, i1: 26});
 			for (const [i, {switches}] of bench.endpoints.entries()) {
@@ -146,12 +146,12 @@
 			return bench.endpoints.map(({runs}) => runs.map(({resumeAfter}) => resumeAfter));
 		};
 
-		expect(await play(40, 1000)).to.deep.equal([[undefined], []]);
-		expect(await play(120, 1000)).to.deep.equal([[undefined], [18]]);
-		expect(await play(120, 0)).to.deep.equal([[], [undefined]]);
+		expect(await runOn(40, 1000)).to.deep.equal([[undefined], []]);
+		expect(await runOn(120, 1000)).to.deep.equal([[undefined], [18]]);
+		expect(await runOn(120, 0)).to.deep.equal([[], [undefined]]);
 	});
 
-	it('names every version when the weights change in the middle of a text', async () => {
+	it('lists every version when the weights change during a generation', async () => {
 		for (const endpoint of bench.endpoints) {
 			endpoint.switches.eventMs = 100;
 			setTimeout(() => {
@@ -163,7 +163,7 @@
 		expect(outcome.kind === 'made' && [...outcome.text.versions]).to.deep.equal([1, 2]);
 	});
 
-	it('begins anew when the weights change within a text that must have one version', async () => {
+	it('restarts when the weights change during a generation that must have a single version', async () => {
 		for (const endpoint of bench.endpoints) {
 			endpoint.switches.eventMs = 100;
 			setTimeout(() => {
@@ -176,7 +176,7 @@
 		expect(outcome.kind === 'made' && [...outcome.text.versions]).to.deep.equal([2]);
 	});
 
-	it('never asks an endpoint whose weights are too old', async () => {
+	it('never uses an endpoint whose weights are too old', async () => {
 		bench.directory.recordVersion('i1', 'm', 2);
 		bench.endpoints[1]!.version = 2;
 		const outcome = await run({leastVersion: 2});
@@ -184,7 +184,7 @@
 		expect(bench.endpoints[0]!.runs).to.have.length(0);
 	});
 
-	it('takes nothing from an endpoint whose weights are older than it was believed', async () => {
+	it('rejects events of an endpoint whose weights are older than recorded', async () => {
 		bench.directory.recordVersion('i0', 'm', 2);
 		bench.directory.recordVersion('i1', 'm', 2);
 		bench.endpoints[1]!.version = 2;
@@ -192,7 +192,7 @@
 		expect(outcome.kind === 'made' && [...outcome.text.versions]).to.deep.equal([2]);
 	});
 
-	it('gives up after as many failures as the route allows, and at once when it can never be done', async () => {
+	it('fails after the maximum number of attempts of its route, and at once if it is impossible', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.status = 500;
 		}
@@ -205,7 +205,7 @@
 		expect([await readKind(run()), listRuns().length]).to.deep.equal(['impossible', 4]);
 	});
 
-	it('is not counted as failed by refusals, and expires in its time', async () => {
+	it('does not count refusals as failures, and expires at its deadline', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.isFull = true;
 		}
@@ -214,7 +214,7 @@
 		expect(listRuns()).to.have.length(0);
 	});
 
-	it('asks endpoints that refuse less and less often', async () => {
+	it('backs off from endpoints that refuse', async () => {
 		let refusals = 0;
 		const {client} = bench;
 		bench.client = {
@@ -233,7 +233,7 @@
 		expect(refusals).to.be.within(4, 24);
 	});
 
-	it('goes on at the faster endpoint for which it leaves a slow one, also if that is no home', async () => {
+	it('resumes at the faster endpoint that it moves to, even if that one is not dedicated', async () => {
 		bench = createBench(5);
 		const {directory} = bench;
 		for (const [i, {switches}] of bench.endpoints.entries()) {
@@ -241,12 +241,12 @@
 			switches.eventMs = i >= 2 ? 45 : 60;
 		}
 
-		let othersAtFast = 4;
-		// Loads are told and paces measured by other runs.
+		let fastRunning = 4;
+		// Simulates the load reports and paces of other runs.
 		const measure = setInterval(() => {
 			for (const [i, {switches}] of bench.endpoints.entries()) {
 				directory.recordHead(`i${i}`, {
-					status: 200, headers: {}, isNotRun: false, stamp: undefined, load: {running: i >= 2 ? othersAtFast : 0, waiting: 0, slots: 4}, weightVersion: 1, isFramed: true, isClosing: false,
+					status: 200, headers: {}, isNotRun: false, stamp: undefined, load: {running: i >= 2 ? fastRunning : 0, waiting: 0, slots: 4}, weightVersion: 1, isFramed: true, isClosing: false,
 				});
 				directory.recordPace(`i${i}`, switches.eventMs);
 			}
@@ -256,7 +256,7 @@
 			directory, client: bench.client, log: bench.log, findRoute: () => createRoute({kind: 'batch'}), chance: () => 0, findHomes: () => new Set(['i0', 'i1']),
 		}, createSample(), new AbortController().signal).run();
 		await clock.tickAsync(500);
-		othersAtFast = 3;
+		fastRunning = 3;
 		await clock.tickAsync(8000);
 		clearInterval(measure);
 		expect(readEvents(await outcome)).to.have.length(100);
@@ -264,7 +264,7 @@
 		expect([first!.runs.length + second!.runs.length, fast.flatMap(({runs}) => runs).length]).to.deep.equal([1, 1]);
 	});
 
-	it('leaves an endpoint that turns slow, and resumes at a fast one', async () => {
+	it('leaves an endpoint that becomes slow, and resumes at a fast one', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.events = 40;
 		}
--- a/packages/direct/__tests__/sample-search.spec.ts
+++ b/packages/direct/__tests__/sample-search.spec.ts
@@ -6,7 +6,7 @@
 	createBench, createRoute, createSample, type Bench,
 } from './fixtures.js';
 
-describe('SampleSearch in the line of a host', () => {
+describe('SampleSearch in the wait queue of a host', () => {
 	let clock: Clock;
 	let bench: Bench;
 	let line: EndpointLine;
@@ -28,7 +28,7 @@
 		clock.uninstall();
 	});
 
-	/** Starts samples that are planned to begin in the order of their ranks; the endpoint has four slots. */
+	/** Starts samples that must begin in the order of their ranks; the endpoint has four slots. */
 	function start(ranks: readonly number[]): void {
 		for (const rank of ranks) {
 			void run(rank);
@@ -58,7 +58,7 @@
 		expect(new Set(Object.values(outcomes))).to.deep.equal(new Set(['made']));
 	});
 
-	it('runs nothing more of a route that was removed while it waited', async () => {
+	it('starts no more samples of a route that was removed while they waited', async () => {
 		start([0, 1, 2, 3, 4, 5]);
 		await clock.tickAsync(20);
 		route = undefined;
@@ -66,7 +66,7 @@
 		expect([outcomes.s4, outcomes.s5, listBegun().length]).to.deep.equal(['failed', 'failed', 4]);
 	});
 
-	it('begins a text anew at once whose only version no endpoint has any more', async () => {
+	it('restarts a text at once if no endpoint has its required version any more', async () => {
 		const {directory, client, log, endpoints: [endpoint]} = bench;
 		directory.put({...directory.get(endpoint!.id)!, models: [{model: 'm', version: 2}]});
 		endpoint!.version = 2;
@@ -78,7 +78,7 @@
 		expect(listBegun()).to.deep.equal(['s']);
 	});
 
-	it('keeps a text while nobody is registered, and goes on with it once its version is back', async () => {
+	it('retains a text while no endpoint is registered, and resumes it once its version is available again', async () => {
 		const {directory, client, log, endpoints: [endpoint]} = bench;
 		const registered = directory.get(endpoint!.id)!;
 		directory.remove(endpoint!.id);
@@ -93,7 +93,7 @@
 		expect(endpoint!.runs.map(({resumeAfter}) => resumeAfter)).to.deep.equal([2]);
 	});
 
-	it('leaves the line when its batch stops, and keeps no slot', async () => {
+	it('leaves the queue when its batch stops, and holds no slot', async () => {
 		start([0, 1, 2, 3, 4, 5]);
 		await clock.tickAsync(20);
 		stop.abort();
--- a/packages/direct/__tests__/silence-watch.spec.ts
+++ b/packages/direct/__tests__/silence-watch.spec.ts
@@ -19,15 +19,15 @@
 		clock.uninstall();
 	});
 
-	it('gives a run up after a second without an event', () => {
+	it('aborts a run after a second without an event', () => {
 		clock.tick(900);
 		expect(stop.signal.aborted).to.equal(false);
 		clock.tick(200);
 		expect(stop.signal.aborted).to.equal(true);
 	});
 
-	it('does not count the time by which this process itself is late', () => {
-		// Each look comes 0.2 s late, as on a host that has more to do than it can.
+	it('does not count the event-loop lag of this process', () => {
+		// Each check is 0.2 s late, as on an overloaded host.
 		for (let i = 0; i < 3; i += 1) {
 			clock.jump(450);
 		}
--- a/packages/direct/__tests__/stream-call.spec.ts
+++ b/packages/direct/__tests__/stream-call.spec.ts
@@ -6,7 +6,7 @@
 import {StreamCall, type StreamOutcome} from '../src/index.js';
 import {createBench, createRequest, createRoute} from './fixtures.js';
 
-/** What each attempt does, in their order: pieces, then an end or an error; undefined refuses. */
+/** Behavior of one attempt: the chunks that it sends, and how it ends. An undefined script refuses the attempt. */
 type Script = {pieces: string[]; end: 'whole' | 'broken' | 'silent' | 'unframed'; status?: number};
 
 function createEvents(from: number, to: number): string {
@@ -86,7 +86,7 @@
 		return text;
 	}
 
-	it('goes on elsewhere after the last whole event, with the head of the first endpoint', async () => {
+	it('resumes at another endpoint after the last complete event, with the head of the first endpoint', async () => {
 		const {requests, outcome, bench} = start([
 			{pieces: [createEvents(1, 2), 'id: 3\nda'], end: 'broken'},
 			undefined,
@@ -100,43 +100,43 @@
 		expect(['i0', 'i1', 'i2', 'i3'].map(id => bench.directory.countOpen(id))).to.deep.equal([0, 0, 0, 0]);
 	});
 
-	it('goes on after the event that the caller names, when it breaks before the first one', async () => {
+	it('resumes after the event that the caller names, if it breaks before the first one', async () => {
 		const {requests, outcome} = start([{pieces: [], end: 'broken'}, {pieces: [createEvents(6, 7)], end: 'whole'}], {}, 5);
 		expect(await readAll(outcome)).to.equal(createEvents(6, 7));
 		expect(requests.map(({resumeAfter}) => resumeAfter)).to.deep.equal([5, 5]);
 	});
 
-	it('goes on elsewhere when nothing comes for a second', async () => {
+	it('resumes at another endpoint when no data arrives for a second', async () => {
 		const {outcome} = start([{pieces: [createEvents(1, 2)], end: 'silent'}, {pieces: [createEvents(3, 3)], end: 'whole'}]);
 		expect(await readAll(outcome, 2000)).to.equal(createEvents(1, 3));
 	});
 
-	it('finds out what is missing after an end without a length', async () => {
+	it('fetches missing events after the end of a stream without a length', async () => {
 		const {outcome} = start([{pieces: [createEvents(1, 2)], end: 'unframed'}, {pieces: [createEvents(3, 3)], end: 'whole'}]);
 		expect(await readAll(outcome)).to.equal(createEvents(1, 3));
 	});
 
-	it('begins at no more endpoints than the route allows, and does not end as if it were whole then', async () => {
+	it('begins at no more endpoints than the route allows, and then ends with an error', async () => {
 		const broken: Script = {pieces: [], end: 'broken'};
 		const {requests, outcome} = start([{pieces: [createEvents(1, 1)], end: 'broken'}, broken, broken, broken], {maxAttempts: 2});
 		expect(await readAll(outcome)).to.equal(`${createEvents(1, 1)}(broken off)`);
 		expect(requests).to.have.length(2);
 	});
 
-	it('repeats nothing that may have run where the route does not allow it', async () => {
+	it('does not repeat an attempt that may have run if the route does not allow it', async () => {
 		const {requests, outcome} = start([{pieces: [createEvents(1, 1)], end: 'broken'}, {pieces: [createEvents(2, 2)], end: 'whole'}], {isResumable: false});
 		expect(await readAll(outcome)).to.equal(`${createEvents(1, 1)}(broken off)`);
 		expect(requests).to.have.length(1);
 	});
 
-	it('hands on an endpoint\'s own failure as it came', async () => {
+	it('passes on the failure of an endpoint unchanged', async () => {
 		const {outcome} = start([{pieces: ['no'], end: 'whole', status: 500}]);
 		const opened = await outcome;
 		expect(opened.kind === 'opened' && opened.stream.status).to.equal(500);
 		expect(await read(opened)).to.equal('no');
 	});
 
-	it('ends with the time of its caller while no endpoint begins, and asks none after it', async () => {
+	it('ends at the deadline of its caller while no endpoint begins, and tries none after it', async () => {
 		const bench = createBench(4);
 		let asked = 0;
 		const client = {
--- a/packages/direct/__tests__/weight-orders.spec.ts
+++ b/packages/direct/__tests__/weight-orders.spec.ts
@@ -8,19 +8,19 @@
 describe('WeightOrders', () => {
 	let clock: Clock;
 	let bench: Bench;
-	let right: {fence: number; isHeld: boolean; holds(): boolean};
+	let lease: {fence: number; isHeld: boolean; holds(): boolean};
 	let orders: WeightOrders;
 
 	beforeEach(() => {
 		clock = install();
 		bench = createBench(6);
-		right = {
+		lease = {
 			fence: 5, isHeld: true, holds() {
 				return this.isHeld;
 			},
 		};
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 	});
 
@@ -41,7 +41,7 @@
 		return bench.endpoints.reduce((sum, endpoint) => sum + endpoint.orders.length, 0);
 	}
 
-	it('brings every endpoint to a published version, once, and a part of them at a time', async () => {
+	it('brings every endpoint to a published version once, a fraction of them at a time', async () => {
 		orders.publish('m', 2);
 		await tickFor(6000, () => {
 			expect(bench.endpoints.filter(({isBusy}) => isBusy).length).to.be.at.most(2);
@@ -50,25 +50,25 @@
 		expect(countOrders()).to.equal(6);
 	});
 
-	it('orders nothing of a service that the configuration does not name, nor again of an id that another server has', async () => {
+	it('sends no order to a service that the configuration does not name, and no second one to an address of a different server', async () => {
 		const [template] = bench.directory.list();
 		bench.directory.put({
 			...template!, id: 'x', service: 'other', address: 'a9',
 		});
 		bench.directory.put({...template!, id: 'y', address: 'a8'});
 		bench.serving.add('a8', 'z');
-		const stranger = bench.serving.add('a9', 'x');
+		const unserved = bench.serving.add('a9', 'x');
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', log: bench.log, chooseMode: () => 'continue', isServed: service => service === 's',
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', isServed: service => service === 's',
 		});
 		orders.publish('m', 2);
 		await tickFor(6000);
-		expect(stranger.orders).to.have.length(0);
+		expect(unserved.orders).to.have.length(0);
 		expect(bench.directory.get('y')).to.equal(undefined);
 		expect(bench.endpoints.map(({version}) => version)).to.deep.equal([2, 2, 2, 2, 2, 2]);
 	});
 
-	it('sends no order that may arrive after its right has lapsed, where endpoints check no fence', async () => {
+	it('sends no order that may arrive after the lease has lapsed, where endpoints check no fence', async () => {
 		let leftMs = 700;
 		const lapsing = {fence: 5, holds: (roomMs = 0) => roomMs < leftMs};
 		orders = new WeightOrders({
@@ -82,17 +82,17 @@
 		expect(countOrders()).to.equal(6);
 	});
 
-	it('sends no order without a fence when the right lapses between two looks', async () => {
-		let looks = 0;
-		const flickering = {
+	it('sends no order without a fence when the lease lapses between two checks', async () => {
+		let fenceReads = 0;
+		const unstable = {
 			get fence() {
-				looks += 1;
-				return looks % 2 === 0 ? 5 : 0;
+				fenceReads += 1;
+				return fenceReads % 2 === 0 ? 5 : 0;
 			},
 			holds: () => true,
 		};
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: flickering, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, right: unstable, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 		orders.publish('m', 2);
 		await tickFor(8000);
@@ -100,10 +100,10 @@
 		expect(countOrders()).to.equal(6);
 	});
 
-	it('keeps an endpoint of each model that does not load, where several models share the endpoints', async () => {
+	it('keeps one endpoint of each model from loading, where several models share the endpoints', async () => {
 		bench = createBench(6, ['a', 'b', 'c']);
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 		for (const model of ['a', 'b', 'c']) {
 			orders.publish(model, 2);
@@ -122,10 +122,10 @@
 		expect([...loaded.values()].map(({size}) => size)).to.deep.equal([2, 2, 2]);
 	});
 
-	it('keeps half of the endpoints from loading while reports lag behind', async () => {
+	it('keeps half of the endpoints from loading while reports lag', async () => {
 		bench = createBench(2);
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 		for (const {switches} of bench.endpoints) {
 			switches.reportLagMs = 300;
@@ -139,7 +139,7 @@
 		expect(countOrders()).to.equal(2);
 	});
 
-	it('lets the step that follows a publication fill the slots before any endpoint loads', async () => {
+	it('lets the step after a publication fill the slots before any endpoint loads', async () => {
 		orders.publish('m', 2);
 		await tickFor(250);
 		expect(countOrders()).to.equal(0);
@@ -147,10 +147,10 @@
 		expect(countOrders()).to.equal(2);
 	});
 
-	it('lets no endpoint load while texts wait to begin, but for what must be loaded before the next version', async () => {
+	it('delays loads while generations wait to begin, except those that must finish before the next version', async () => {
 		let waiting = 0;
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
 		});
 		orders.publish('m', 2);
 		await tickFor(8000);
@@ -169,10 +169,10 @@
 		expect(bench.endpoints.map(({version}) => version)).to.deep.equal([4, 4, 4, 4, 4, 4]);
 	});
 
-	it('holds no endpoint back for texts that it can not run: one that is more than a version behind', async () => {
+	it('does not delay the load of an endpoint that is more than a version behind and can not run the waiting generations', async () => {
 		let waiting = 0;
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
 		});
 		orders.publish('m', 2);
 		await tickFor(10_000);
@@ -188,11 +188,11 @@
 		expect([first!.orders.at(-1)!.version, countOrders()]).to.deep.equal([3, before + 1]);
 	});
 
-	it('leaves models where they are though versions that no endpoint has loaded yet make all seem to follow another one', async () => {
+	it('keeps model assignments when a published version is loaded nowhere yet', async () => {
 		bench = createBench(6, ['a', 'b']);
 		const lines: string[] = [];
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', chooseMode: () => 'continue',
 			log: new Log('t', 'info', line => {
 				lines.push(line);
 			}),
@@ -204,10 +204,10 @@
 		expect([first, lines.filter(line => line.includes('event=endpoint_placed')).length]).to.deep.equal([6, 6]);
 	});
 
-	it('orders at once and everywhere where the policy says so', async () => {
+	it('orders all endpoints at once if the policy says so', async () => {
 		bench = createBench(6, ['a', 'b', 'c']);
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right, holder: 'a', log: bench.log, chooseMode: () => 'continue', policy: {...defaultPolicy, loadDelayMs: 0, staggersLoads: false},
+			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', policy: {...defaultPolicy, loadDelayMs: 0, staggersLoads: false},
 		});
 		orders.publish('a', 2);
 		await tickFor(100);
@@ -216,21 +216,21 @@
 		expect(countOrders()).to.equal(2);
 	});
 
-	it('gives no order without the lease', async () => {
-		right.isHeld = false;
+	it('sends no order without the lease', async () => {
+		lease.isHeld = false;
 		orders.publish('m', 2);
 		await tickFor(2000);
 		expect(countOrders()).to.equal(0);
 	});
 
-	it('skips a version that a newer one has overtaken, and never goes back', async () => {
+	it('skips a version that a newer one has superseded, and never returns to an older one', async () => {
 		orders.publish('m', 3);
 		orders.publish('m', 2);
 		await tickFor(6000);
 		expect(bench.endpoints.map(({version}) => version)).to.deep.equal([3, 3, 3, 3, 3, 3]);
 	});
 
-	it('does no harm with an order that is carried out late, after a newer one', async () => {
+	it('has no effect by an order that is executed late, after a newer one', async () => {
 		const [endpoint] = bench.endpoints;
 		endpoint!.switches.ordersToDelay = 1;
 		endpoint!.switches.lateMs = 5000;
@@ -242,14 +242,14 @@
 		expect(endpoint!.orderCount).to.equal(2);
 	});
 
-	it('changes nothing by an order of a holder that was frozen between its check and its order, at endpoints that check no fence', async () => {
+	it('has no effect by an order of a holder that was suspended between its check and its order, at endpoints that check no fence', async () => {
 		const [endpoint] = bench.endpoints;
 		endpoint!.switches.ordersToDelay = 1;
 		endpoint!.switches.lateMs = 4000;
 		orders.publish('m', 2);
 		await tickFor(600);
 		expect(endpoint!.orders).to.have.length(0);
-		right.isHeld = false;
+		lease.isHeld = false;
 		const next = new WeightOrders({
 			directory: bench.directory, client: bench.client, right: {fence: 6, holds: () => true}, holder: 'b', log: bench.log, chooseMode: () => 'continue',
 		});
@@ -265,11 +265,11 @@
 		expect([endpoint!.version, endpoint!.orderCount]).to.deep.equal([3, 1]);
 	});
 
-	it('gives no order once the lease has lapsed while it asked for the report', async () => {
+	it('sends no order if the lease lapses while it reads the report', async () => {
 		const {report} = bench.client;
 		bench.client.report = async target => {
 			const answer = await report.call(bench.serving, target);
-			right.isHeld = false;
+			lease.isHeld = false;
 			return answer;
 		};
 
@@ -278,7 +278,7 @@
 		expect(countOrders()).to.equal(0);
 	});
 
-	it('orders again when nothing came of an order, on the same condition', async () => {
+	it('repeats an order that was not taken, with the same condition', async () => {
 		for (const {switches} of bench.endpoints) {
 			switches.ordersToDelay = 1;
 			switches.lateMs = 60_000;
