--- a/packages/direct/src/endpoint-directory.ts
+++ b/packages/direct/src/endpoint-directory.ts
@@ -277,8 +277,8 @@
 			return undefined;
 		}
 
-		const others = this.#listEligible({...requirement, waiter: undefined}).filter(state => state !== current && state.vanishedAt === undefined);
-		const better = listBetter(current.toCandidate(undefined), others.map(state => state.toCandidate(requirement.warmKey, requirement.dedicated)), isLong);
+		const candidates = this.#listEligible({...requirement, waiter: undefined}).filter(state => state !== current && state.vanishedAt === undefined);
+		const better = listBetter(current.toCandidate(undefined), candidates.map(state => state.toCandidate(requirement.warmKey, requirement.dedicated)), isLong);
 		const chosen = chooseDirect(better, this.#random.next());
 		const state = chosen && this.#states.get(chosen.id);
 		if (state) {
@@ -353,7 +353,7 @@
 
 	#findSlowPace(service: string): number | undefined {
 		const serving = [...this.#states.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
-		return findSlowPace(serving.map(({persistentMs: lastingMs}) => lastingMs));
+		return findSlowPace(serving.map(({persistentMs}) => persistentMs));
 	}
 
 	#choose(states: readonly EndpointStanding[], requirement: EndpointRequirement): EndpointStanding | undefined {
--- a/packages/direct/src/load-schedule.ts
+++ b/packages/direct/src/load-schedule.ts
@@ -58,8 +58,8 @@
 			return;
 		}
 
-		const learntAt = performance.now();
-		this.#published.set(model, {version, receivedAt: learntAt, intervalMs: known && findInterval(known, learntAt)});
+		const receivedAt = performance.now();
+		this.#published.set(model, {version, receivedAt, intervalMs: known && findInterval(known, receivedAt)});
 	}
 
 	/** Records the time of a load, in milliseconds. */
@@ -74,17 +74,17 @@
 			return false;
 		}
 
-		const {receivedAt: learntAt, intervalMs} = published;
+		const {receivedAt, intervalMs} = published;
 		const {loadDelayMs, timesLoads} = this.#policy;
 		return shouldLoad({
-			...group, sinceMs: performance.now() - learntAt, waiting: timesLoads ? this.#findWaiting(model) : undefined, loadMs: this.#loadMs, intervalMs,
+			...group, sinceMs: performance.now() - receivedAt, waiting: timesLoads ? this.#findWaiting(model) : undefined, loadMs: this.#loadMs, intervalMs,
 		}, loadDelayMs);
 	}
 }
 
 /** Mean interval between publications in milliseconds, without intervals beyond the maximum. */
-function findInterval({receivedAt: learntAt, intervalMs}: Publication, now: number): number | undefined {
-	const elapsedMs = now - learntAt;
+function findInterval({receivedAt, intervalMs}: Publication, now: number): number | undefined {
+	const elapsedMs = now - receivedAt;
 	if (elapsedMs > maxIntervalMs) {
 		return intervalMs;
 	}
--- a/packages/direct/src/persistent-speeds.ts
+++ b/packages/direct/src/persistent-speeds.ts
@@ -30,9 +30,9 @@
 	}
 
 	/** Records the speed that this process has measured, if any. */
-	record({endpoint: {service, address}, ownPersistentMs: ownClassMs}: EndpointStanding): void {
-		if (ownClassMs !== undefined) {
-			this.#store({service, address, classMs: ownClassMs});
+	record({endpoint: {service, address}, ownPersistentMs}: EndpointStanding): void {
+		if (ownPersistentMs !== undefined) {
+			this.#store({service, address, classMs: ownPersistentMs});
 		}
 	}
 
--- a/packages/direct/src/run-meter.ts
+++ b/packages/direct/src/run-meter.ts
@@ -4,7 +4,7 @@
  */
 
 /** A counted request. */
-export type RunMark = {
+export type CountedRun = {
 	/** Reverts the count, since the request has not run. */
 	undo(): void;
 };
@@ -12,7 +12,7 @@
 /** Counts requests of customers. */
 export type RunMeter = {
 	/** Counts a request that begins to run now; `undo` of the result reverts it. */
-	begin(customer: string): RunMark;
+	begin(customer: string): CountedRun;
 };
 
 /** The endpoints that may have begun to run one request. */
@@ -20,7 +20,7 @@
 	readonly #endpoints = new Set<string>();
 	readonly #customer: string | undefined;
 	readonly #meter: RunMeter | undefined;
-	#mark: RunMark | undefined;
+	#countedRun: CountedRun | undefined;
 
 	/** @param customer - owner of the request; a request without one isn't counted */
 	constructor(customer: string | undefined, meter: RunMeter | undefined) {
@@ -35,7 +35,7 @@
 	/** Records an attempt at an endpoint. */
 	add(endpoint: string): void {
 		if (this.#endpoints.size === 0 && this.#customer !== undefined) {
-			this.#mark = this.#meter?.begin(this.#customer);
+			this.#countedRun = this.#meter?.begin(this.#customer);
 		}
 
 		this.#endpoints.add(endpoint);
@@ -45,8 +45,8 @@
 	delete(endpoint: string): void {
 		this.#endpoints.delete(endpoint);
 		if (this.#endpoints.size === 0) {
-			this.#mark?.undo();
-			this.#mark = undefined;
+			this.#countedRun?.undo();
+			this.#countedRun = undefined;
 		}
 	}
 }
--- a/packages/direct/src/sample-run.ts
+++ b/packages/direct/src/sample-run.ts
@@ -169,8 +169,8 @@
 	}
 
 	async #findEndpoint(route: Route): Promise<RegisteredEndpoint | undefined> {
-		const [begun] = this.#text.versions;
-		const {requirement, endpoint, isVersionLost} = await this.#search.find(route, begun, this.#avoided, () => this.#estimateRemaining());
+		const [begunVersion] = this.#text.versions;
+		const {requirement, endpoint, isVersionLost} = await this.#search.find(route, begunVersion, this.#avoided, () => this.#estimateRemaining());
 		this.#requirement = requirement;
 		this.#expectedEvents ??= requirement.units;
 		this.#times.mark('waited');
--- a/packages/direct/src/sample-search.ts
+++ b/packages/direct/src/sample-search.ts
@@ -69,9 +69,9 @@
 	async find(route: Route, begunVersion: number | undefined, avoided: string | undefined, estimateRemaining: RemainingEstimate): Promise<SearchResult> {
 		const requirement = {...this.#toRequirement(route, begunVersion), ...estimateRemaining()};
 		const {line} = this.#settings;
-		const taken = line ? undefined : this.#acquire(requirement, avoided);
-		if (taken) {
-			return {requirement, endpoint: taken, isVersionLost: false};
+		const acquired = line ? undefined : this.#acquire(requirement, avoided);
+		if (acquired) {
+			return {requirement, endpoint: acquired, isVersionLost: false};
 		}
 
 		const isLostNow = this.#isVersionLost(requirement);
--- a/packages/direct/src/slot-limits.ts
+++ b/packages/direct/src/slot-limits.ts
@@ -44,7 +44,7 @@
 /** The requirements of a waiter that slot requests depend on. */
 export type UnmetRequirement = {waiter?: SlotWaiter; dueInMs?: number; avoidsFull?: boolean};
 
-type SlotRequest = SlotWaiter & {endpoint: string; dueAt: number; since: number; renewedAt: number};
+type SlotRequest = SlotWaiter & {endpoint: string; dueAt: number; requestedAt: number; renewedAt: number};
 
 /** Slot requests and limits of contended endpoints. */
 export class SlotLimits {
@@ -118,25 +118,25 @@
 
 		const {id, urgency} = waiter;
 		const candidates = list(withoutLimits);
-		const stays = known && now - known.since < minStayMs && candidates.some(({endpoint}) => endpoint.id === known.endpoint);
-		const endpoint = stays ? known.endpoint : this.#choose(candidates);
+		const keepsEndpoint = known && now - known.requestedAt < minStayMs && candidates.some(({endpoint}) => endpoint.id === known.endpoint);
+		const endpoint = keepsEndpoint ? known.endpoint : this.#choose(candidates);
 		const state = candidates.find(candidate => candidate.endpoint.id === endpoint);
 		if (endpoint === undefined || !state) {
 			this.#withdraw(id);
 			return;
 		}
 
-		if (!stays) {
+		if (!keepsEndpoint) {
 			this.#withdraw(id);
 			const waiterIds = this.#waiterIds.get(endpoint) ?? new Set();
 			this.#waiterIds.set(endpoint, waiterIds.add(id));
 		}
 
 		this.#requests.set(id, {
-			id, urgency, endpoint, dueAt: now + dueInMs, since: stays ? known.since : now, renewedAt: now,
+			id, urgency, endpoint, dueAt: now + dueInMs, requestedAt: keepsEndpoint ? known.requestedAt : now, renewedAt: now,
 		});
 		this.#markContended(endpoint);
-		if (!stays) {
+		if (!keepsEndpoint) {
 			this.#report(state);
 		}
 	}
@@ -144,8 +144,8 @@
 	/** Expires requests that were not renewed, and reports contended endpoints; call it about every 50 ms. */
 	tick(): void {
 		const now = performance.now();
-		for (const {id, renewedAt: seenAt} of this.#requests.values()) {
-			if (now - seenAt > requestExpiryMs) {
+		for (const {id, renewedAt} of this.#requests.values()) {
+			if (now - renewedAt > requestExpiryMs) {
 				this.#withdraw(id);
 			}
 		}
--- a/packages/direct/src/stream-call.ts
+++ b/packages/direct/src/stream-call.ts
@@ -92,8 +92,8 @@
 		}
 
 		this.#release();
-		const mayAsk = this.#begunCount < this.#route.maxAttempts && performance.now() < this.#request.deadlineAt;
-		const outcome = mayAsk ? await this.#attemptAll(after) : undefined;
+		const mayRetry = this.#begunCount < this.#route.maxAttempts && performance.now() < this.#request.deadlineAt;
+		const outcome = mayRetry ? await this.#attemptAll(after) : undefined;
 		if (!outcome || 'kind' in outcome) {
 			return undefined;
 		}
@@ -106,12 +106,12 @@
 	async #attemptAll(after: number | undefined): Promise<OpenAttempt | Exclude<StreamOutcome, {kind: 'opened'}>> {
 		while (!this.#signal.aborted && !this.#deadline.signal.aborted) {
 			// eslint-disable-next-line no-await-in-loop
-			const turn = await this.#acquire();
-			if (turn.kind !== 'granted') {
-				return this.#toRefusal(turn);
+			const admission = await this.#acquire();
+			if (admission.kind !== 'granted') {
+				return this.#toRefusal(admission);
 			}
 
-			const {endpoint} = turn;
+			const {endpoint} = admission;
 			this.#currentEndpoint = endpoint.id;
 			this.#excluded.add(endpoint.id);
 			// Each attempt depends on the outcome of the previous one.
@@ -143,13 +143,13 @@
 		return endpoint ? {kind: 'granted', endpoint} : {kind: 'none'};
 	}
 
-	#toRefusal(turn: Exclude<AdmissionOutcome, {kind: 'granted'}>): Exclude<StreamOutcome, {kind: 'opened'}> {
+	#toRefusal(admission: Exclude<AdmissionOutcome, {kind: 'granted'}>): Exclude<StreamOutcome, {kind: 'opened'}> {
 		if (this.#signal.aborted || this.#deadline.signal.aborted) {
 			return this.#conclude();
 		}
 
-		return turn.kind === 'refused'
-			? {kind: 'not-run', reason: turn.reason, retryAfterMs: turn.retryAfterMs}
+		return admission.kind === 'refused'
+			? {kind: 'not-run', reason: admission.reason, retryAfterMs: admission.retryAfterMs}
 			: {kind: 'not-run', reason: this.#lastReason, retryAfterMs: this.#settings.directory.planRetryAfterMs(this.#service)};
 	}
 
--- a/packages/direct/src/weight-orders.ts
+++ b/packages/direct/src/weight-orders.ts
@@ -271,7 +271,7 @@
 
 	#orderDue(endpoints: readonly RegisteredEndpoint[], assigned: ReadonlyMap<string, readonly string[]>): void {
 		const maxLoading = Math.max(1, Math.round(endpoints.length * loadingFraction));
-		let free = maxLoading - endpoints.filter(({id}) => this.#loading.has(id) || this.#ordering.has(id)).length;
+		let freeLoads = maxLoading - endpoints.filter(({id}) => this.#loading.has(id) || this.#ordering.has(id)).length;
 		const now = performance.now();
 		const dueModels = this.#listDue(endpoints, assigned, maxLoading);
 		const due = endpoints
@@ -283,7 +283,7 @@
 			// Endpoints with the oldest weights come first, since they delay the most work; then the least busy ones.
 			.toSorted((a, b) => a.pending.from - b.pending.from || this.#settings.directory.countOpen(a.endpoint.id) - this.#settings.directory.countOpen(b.endpoint.id));
 		for (const {endpoint, pending} of due) {
-			if (free <= 0) {
+			if (freeLoads <= 0) {
 				return;
 			}
 
@@ -291,7 +291,7 @@
 				continue;
 			}
 
-			free -= 1;
+			freeLoads -= 1;
 			this.#ordering.set(endpoint.id, pending.model);
 			void this.#sendOrder(endpoint, pending.model, pending.version).finally(() => {
 				this.#ordering.delete(endpoint.id);
@@ -307,24 +307,24 @@
 	/** Models whose assigned endpoints should load now. */
 	#listDue(endpoints: readonly RegisteredEndpoint[], assigned: ReadonlyMap<string, readonly string[]>, maxLoading: number): Set<string> {
 		return new Set([...this.#schedule.versions].filter(([model, version]) => {
-			const followers = listFollowers(assigned, model);
-			const left = followers.filter(id => (this.#settings.directory.findVersion(id, model) ?? 0) < version).length;
+			const assignedIds = listAssigned(assigned, model);
+			const outdatedCount = assignedIds.filter(id => (this.#settings.directory.findVersion(id, model) ?? 0) < version).length;
 			// A model's share of the service's concurrent loads is proportional to its assigned endpoints.
-			const part = Math.round(maxLoading * followers.length / Math.max(1, endpoints.length));
-			return left > 0 && this.#schedule.isDue({model, endpoints: left, width: Math.min(part, this.#findMaxLoading(followers.length))});
+			const modelLimit = Math.round(maxLoading * assignedIds.length / Math.max(1, endpoints.length));
+			return outdatedCount > 0 && this.#schedule.isDue({model, endpoints: outdatedCount, width: Math.min(modelLimit, this.#findMaxLoading(assignedIds.length))});
 		}).map(([model]) => model));
 	}
 
 	/** Maximum number of the endpoints assigned to a model that may load it at once. */
-	#findMaxLoading(followers: number): number {
-		return this.#policy.staggersLoads ? Math.max(1, Math.floor(followers * modelLoadingFraction)) : followers;
+	#findMaxLoading(assignedCount: number): number {
+		return this.#policy.staggersLoads ? Math.max(1, Math.floor(assignedCount * modelLoadingFraction)) : assignedCount;
 	}
 
 	/** Whether one more of the endpoints assigned to a model may load it. */
 	#mayLoad(model: string, assigned: ReadonlyMap<string, readonly string[]>): boolean {
-		const followers = listFollowers(assigned, model);
-		const loading = followers.filter(id => this.#loading.get(id)?.model === model || this.#ordering.get(id) === model).length;
-		return loading < this.#findMaxLoading(followers.length);
+		const assignedIds = listAssigned(assigned, model);
+		const loading = assignedIds.filter(id => this.#loading.get(id)?.model === model || this.#ordering.get(id) === model).length;
+		return loading < this.#findMaxLoading(assignedIds.length);
 	}
 
 	#findPendingVersion({id}: RegisteredEndpoint, models: readonly string[]): {model: string; version: number; from: number} | undefined {
@@ -392,6 +392,6 @@
 	}
 }
 
-function listFollowers(assigned: ReadonlyMap<string, readonly string[]>, model: string): string[] {
+function listAssigned(assigned: ReadonlyMap<string, readonly string[]>, model: string): string[] {
 	return [...assigned].filter(([, models]) => models.includes(model)).map(([id]) => id);
 }
