--- a/packages/direct/__tests__/call-queue.spec.ts
+++ b/packages/direct/__tests__/call-queue.spec.ts
@@ -73,11 +73,11 @@
 	/** Creates an endpoint whose slots are all taken for a long time, and a queue with measured service times. */
 	async function createFullEndpoint(): Promise<{bench: Bench; call(path: string): Promise<CallOutcome>}> {
 		const bench = createBench(1);
-		const line = new EndpointLine(bench.directory);
-		const settings = {...bench, client: createQueueingClient(bench, slots, () => 10_000), line};
+		const queue = new EndpointLine(bench.directory);
+		const settings = {...bench, client: createQueueingClient(bench, slots, () => 10_000), line: queue};
 		const call = async (path: string) => new DirectCall(settings, createRoute({objectiveMs}), {...createRequest(60_000), path}, new AbortController().signal).run();
 		for (let i = 0; i < 20; i++) {
-			line.recordWork('s', 25);
+			queue.recordWork('s', 25);
 		}
 
 		for (let i = 0; i <= slots; i++) {
--- a/packages/direct/__tests__/sample-search.spec.ts
+++ b/packages/direct/__tests__/sample-search.spec.ts
@@ -9,7 +9,7 @@
 describe('SampleSearch in the wait queue of a host', () => {
 	let clock: Clock;
 	let bench: Bench;
-	let line: EndpointLine;
+	let queue: EndpointLine;
 	let route: Route | undefined;
 	let stop: AbortController;
 	let outcomes: Record<string, SampleOutcome['kind']>;
@@ -18,7 +18,7 @@
 		clock = install();
 		bench = createBench(1);
 		bench.endpoints[0]!.switches.eventMs = 40;
-		line = new EndpointLine(bench.directory);
+		queue = new EndpointLine(bench.directory);
 		route = createRoute({kind: 'batch'});
 		stop = new AbortController();
 		outcomes = {};
@@ -40,7 +40,7 @@
 		const id = `s${rank}`;
 		const sample = createSample({id, place: {turn: 't', dueAt: 10_000, rank}});
 		const {kind} = await new SampleRun({
-			directory, client, log, line, findRoute: () => route, chance: () => 0,
+			directory, client, log, line: queue, findRoute: () => route, chance: () => 0,
 		}, sample, stop.signal).run();
 		outcomes[id] = kind;
 	}
@@ -52,7 +52,7 @@
 	it('begins samples in their planned order, as many as there are slots', async () => {
 		start([0, 1, 2, 3, 6, 5, 4, 7]);
 		await clock.tickAsync(20);
-		expect([listBegun(), line.size]).to.deep.equal([['s0', 's1', 's2', 's3'], 4]);
+		expect([listBegun(), queue.size]).to.deep.equal([['s0', 's1', 's2', 's3'], 4]);
 		await clock.tickAsync(5000);
 		expect(listBegun().slice(4)).to.deep.equal(['s4', 's5', 's6', 's7']);
 		expect(new Set(Object.values(outcomes))).to.deep.equal(new Set(['made']));
@@ -72,7 +72,7 @@
 		endpoint!.version = 2;
 		const text = {events: ['a', 'b'], versions: new Set([1])};
 		void new SampleRun({
-			directory, client, log, line, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
+			directory, client, log, line: queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
 		}, createSample({id: 's', isSingleVersion: true}), stop.signal, text).run();
 		await clock.tickAsync(100);
 		expect(listBegun()).to.deep.equal(['s']);
@@ -85,7 +85,7 @@
 		await clock.tickAsync(1300);
 		const text = {events: ['a', 'b'], versions: new Set([1])};
 		void new SampleRun({
-			directory, client, log, line, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
+			directory, client, log, line: queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
 		}, createSample({id: 's', isSingleVersion: true}), stop.signal, text).run();
 		await clock.tickAsync(3000);
 		directory.put(registered);
@@ -98,6 +98,6 @@
 		await clock.tickAsync(20);
 		stop.abort();
 		await clock.tickAsync(100);
-		expect([new Set(Object.values(outcomes)), line.size, bench.directory.countOpen('i0')]).to.deep.equal([new Set(['stopped']), 0, 0]);
+		expect([new Set(Object.values(outcomes)), queue.size, bench.directory.countOpen('i0')]).to.deep.equal([new Set(['stopped']), 0, 0]);
 	});
 });
--- a/packages/direct/src/call-admission.ts
+++ b/packages/direct/src/call-admission.ts
@@ -55,21 +55,21 @@
 
 	/** Waits for an endpoint for the first attempt. */
 	async wait(signal: AbortSignal): Promise<AdmissionOutcome> {
-		const {line} = this.#settings;
-		if (!line) {
+		const {line: queue} = this.#settings;
+		if (!queue) {
 			return this.#acquireNow();
 		}
 
-		const {attemptId, deadlineAt, place} = this.#request;
+		const {attemptId, deadlineAt, place: queuePosition} = this.#request;
 		const now = performance.now();
-		const {patienceMs, ...position} = place ?? this.#findPosition(line, now);
-		const answer = await line.wait({
+		const {patienceMs: maxWaitMs, ...position} = queuePosition ?? this.#findPosition(queue, now);
+		const answer = await queue.wait({
 			...position,
 			id: attemptId,
 			need: {service: this.#service, needsHeadroom: true},
 			weight: 1,
-			deadlineAt: Math.min(deadlineAt, now + patienceMs),
-			workMs: line.findWorkMs(this.#service),
+			deadlineAt: Math.min(deadlineAt, now + maxWaitMs),
+			workMs: queue.findWorkMs(this.#service),
 		}, signal);
 		if (answer.kind === 'left') {
 			return {kind: 'none'};
@@ -77,7 +77,7 @@
 
 		const final = answer.kind === 'expired' ? this.#acquireOrRefuse() : answer;
 		if (final.kind === 'refused') {
-			line.returns.note(this.#returnKey);
+			queue.returns.note(this.#returnKey);
 		}
 
 		return final;
@@ -85,9 +85,9 @@
 
 	/** Acquires an endpoint for a further attempt without waiting; where calls queue, a caller's request needs one with headroom. */
 	acquire(excluded: ReadonlySet<string>): RegisteredEndpoint | undefined {
-		const {directory, line} = this.#settings;
-		const withHeadroom = line && directory.acquire({service: this.#service, excluded, needsHeadroom: true});
-		return withHeadroom ?? (line && !this.#request.place ? undefined : directory.acquire({service: this.#service, excluded}));
+		const {directory, line: queue} = this.#settings;
+		const withHeadroom = queue && directory.acquire({service: this.#service, excluded, needsHeadroom: true});
+		return withHeadroom ?? (queue && !this.#request.place ? undefined : directory.acquire({service: this.#service, excluded}));
 	}
 
 	/** Records the service time of an attempt, in milliseconds. */
@@ -96,9 +96,9 @@
 	}
 
 	/** Position of a caller's request. A retry of a refused request precedes new ones and is not refused at once again. */
-	#findPosition(line: EndpointLine, now: number): CallPlace & {isRefusable: boolean} {
+	#findPosition(queue: EndpointLine, now: number): CallPlace & {isRefusable: boolean} {
 		const {objectiveMs, priority, name} = this.#route;
-		const isReturning = line.returns.take(this.#returnKey);
+		const isReturning = queue.returns.take(this.#returnKey);
 		return {
 			kind: 'call', urgency: priority, turn: this.#request.customer ?? name, isRefusable: !isReturning, patienceMs: maxWaitRatio * objectiveMs,
 			dueAt: now + ((isReturning ? returnDueRatio : 1) * objectiveMs),
--- a/packages/direct/src/call.ts
+++ b/packages/direct/src/call.ts
@@ -296,7 +296,7 @@
 	}
 
 	#toServingRequest(): ServingRequest {
-		const {deadlineAt, place, ...request} = this.#request;
+		const {deadlineAt, place: queuePosition, ...request} = this.#request;
 		return {...request, remainingMs: Math.max(1, Math.round(deadlineAt - performance.now()))};
 	}
 }
--- a/packages/direct/src/sample-run.ts
+++ b/packages/direct/src/sample-run.ts
@@ -365,14 +365,14 @@
 	}
 
 	#appendEvent({id, data, version}: RunEvent): void {
-		const {leastVersion, isSingleVersion} = this.#sample;
+		const {leastVersion: oldestVersion, isSingleVersion} = this.#sample;
 		const {events, versions} = this.#text;
 		if (id !== events.length + 1) {
 			throw new PlatformError('invalid', `expected event ${events.length + 1}, got ${id}`);
 		}
 
-		if (version < leastVersion) {
-			throw new PlatformError('invalid', `event of version ${version}, expected ${leastVersion} or newer`);
+		if (version < oldestVersion) {
+			throw new PlatformError('invalid', `event of version ${version}, expected ${oldestVersion} or newer`);
 		}
 
 		if (isSingleVersion && versions.size > 0 && !versions.has(version)) {
--- a/packages/direct/src/sample-search.ts
+++ b/packages/direct/src/sample-search.ts
@@ -68,14 +68,14 @@
 	 */
 	async find(route: Route, begunVersion: number | undefined, avoided: string | undefined, estimateRemaining: RemainingEstimate): Promise<SearchResult> {
 		const requirement = {...this.#toRequirement(route, begunVersion), ...estimateRemaining()};
-		const {line} = this.#settings;
-		const acquired = line ? undefined : this.#acquire(requirement, avoided);
+		const {line: queue} = this.#settings;
+		const acquired = queue ? undefined : this.#acquire(requirement, avoided);
 		if (acquired) {
 			return {requirement, endpoint: acquired, isVersionLost: false};
 		}
 
 		const isLostNow = this.#isVersionLost(requirement);
-		if (line && isLostNow) {
+		if (queue && isLostNow) {
 			return {requirement, endpoint: undefined, isVersionLost: true};
 		}
 
@@ -89,22 +89,22 @@
 				return estimateRemaining().dueInMs;
 			},
 		};
-		const endpoint = await (line ? this.#waitInQueue(line, route, queueRequirement) : this.#waitForChange());
+		const endpoint = await (queue ? this.#waitInQueue(queue, route, queueRequirement) : this.#waitForChange());
 		this.#isWaiting = false;
 		return {requirement, endpoint, isVersionLost: isLostNow || (!endpoint && this.#isVersionLost(requirement))};
 	}
 
 	#toRequirement(route: Route, begunVersion: number | undefined): EndpointRequirement {
-		const {chance, findHomes} = this.#settings;
-		const {model, leastVersion, isSingleVersion, group, avoidsFull} = this.#sample;
+		const {chance, findHomes: findDedicated} = this.#settings;
+		const {model, leastVersion: oldestVersion, isSingleVersion, group, avoidsFull} = this.#sample;
 		return {
 			service: chooseService(route, chance()),
-			oldestVersion: model === undefined ? undefined : {model, version: leastVersion},
+			oldestVersion: model === undefined ? undefined : {model, version: oldestVersion},
 			exactVersion: isSingleVersion && begunVersion !== undefined && model !== undefined ? {model, version: begunVersion} : undefined,
 			warmKey: group,
 			openLimit,
 			avoidsFull,
-			dedicated: findHomes?.(),
+			dedicated: findDedicated?.(),
 			waiter: {id: this.#sample.id, urgency: findUrgency(this.#sample, route)},
 		};
 	}
@@ -122,13 +122,13 @@
 		return exactVersion !== undefined && registered.length > 0 && !registered.some(({id}) => directory.findVersion(id, exactVersion.model) === exactVersion.version);
 	}
 
-	async #waitInQueue(line: EndpointLine, route: Route, requirement: QueueRequirement): Promise<RegisteredEndpoint | undefined> {
+	async #waitInQueue(queue: EndpointLine, route: Route, requirement: QueueRequirement): Promise<RegisteredEndpoint | undefined> {
 		const {directory, findRoute} = this.#settings;
 		const {
-			id, model = '', deadlineAt, place = {turn: model, dueAt: deadlineAt, rank: 0},
+			id, model = '', deadlineAt, place: queuePosition = {turn: model, dueAt: deadlineAt, rank: 0},
 		} = this.#sample;
-		const answer = await line.wait({
-			id, kind: 'text', need: requirement, urgency: findUrgency(this.#sample, route), weight: 1, workMs: 0, ...place,
+		const answer = await queue.wait({
+			id, kind: 'text', need: requirement, urgency: findUrgency(this.#sample, route), weight: 1, workMs: 0, ...queuePosition,
 			deadlineAt: Math.min(deadlineAt, performance.now() + recheckMs),
 		}, this.#signal);
 		if (answer.kind !== 'granted') {
--- a/packages/direct/src/stream-call.ts
+++ b/packages/direct/src/stream-call.ts
@@ -234,7 +234,7 @@
 	}
 
 	#toServingRequest(after: number | undefined): ServingRequest {
-		const {deadlineAt, place, ...request} = this.#request;
+		const {deadlineAt, place: queuePosition, ...request} = this.#request;
 		return {...request, remainingMs: Math.max(1, Math.round(deadlineAt - performance.now())), ...(after === undefined ? {} : {resumeAfter: after})};
 	}
 }
