--- a/packages/direct/__tests__/sample-search.spec.ts
+++ b/packages/direct/__tests__/sample-search.spec.ts
@@ -6,10 +6,10 @@
 	createBench, createRoute, createSample, type Bench,
 } from './fixtures.js';
 
-describe('SampleSearch in the line of a host', () => {
+describe('SampleSearch in the wait queue of a host', () => {
 	let clock: Clock;
 	let bench: Bench;
-	let line: EndpointLine;
+	let queue: EndpointLine;
 	let route: Route | undefined;
 	let stop: AbortController;
 	let outcomes: Record<string, SampleOutcome['kind']>;
@@ -18,7 +18,7 @@
 		clock = install();
 		bench = createBench(1);
 		bench.endpoints[0]!.switches.eventMs = 40;
-		line = new EndpointLine(bench.directory);
+		queue = new EndpointLine(bench.directory);
 		route = createRoute({kind: 'batch'});
 		stop = new AbortController();
 		outcomes = {};
@@ -28,7 +28,7 @@
 		clock.uninstall();
 	});
 
-	/** Starts samples that are planned to begin in the order of their ranks; the endpoint has four slots. */
+	/** Starts samples that must begin in the order of their ranks; the endpoint has four slots. */
 	function start(ranks: readonly number[]): void {
 		for (const rank of ranks) {
 			void run(rank);
@@ -40,7 +40,7 @@
 		const id = `s${rank}`;
 		const sample = createSample({id, place: {turn: 't', dueAt: 10_000, rank}});
 		const {kind} = await new SampleRun({
-			directory, client, log, line, findRoute: () => route, chance: () => 0,
+			directory, client, log, line: queue, findRoute: () => route, chance: () => 0,
 		}, sample, stop.signal).run();
 		outcomes[id] = kind;
 	}
@@ -52,13 +52,13 @@
 	it('begins samples in their planned order, as many as there are slots', async () => {
 		start([0, 1, 2, 3, 6, 5, 4, 7]);
 		await clock.tickAsync(20);
-		expect([listBegun(), line.size]).to.deep.equal([['s0', 's1', 's2', 's3'], 4]);
+		expect([listBegun(), queue.size]).to.deep.equal([['s0', 's1', 's2', 's3'], 4]);
 		await clock.tickAsync(5000);
 		expect(listBegun().slice(4)).to.deep.equal(['s4', 's5', 's6', 's7']);
 		expect(new Set(Object.values(outcomes))).to.deep.equal(new Set(['made']));
 	});
 
-	it('runs nothing more of a route that was removed while it waited', async () => {
+	it('starts no more samples of a route that was removed while they waited', async () => {
 		start([0, 1, 2, 3, 4, 5]);
 		await clock.tickAsync(20);
 		route = undefined;
@@ -66,26 +66,26 @@
 		expect([outcomes.s4, outcomes.s5, listBegun().length]).to.deep.equal(['failed', 'failed', 4]);
 	});
 
-	it('begins a text anew at once whose only version no endpoint has any more', async () => {
+	it('restarts a text at once if no endpoint has its required version any more', async () => {
 		const {directory, client, log, endpoints: [endpoint]} = bench;
 		directory.put({...directory.get(endpoint!.id)!, models: [{model: 'm', version: 2}]});
 		endpoint!.version = 2;
 		const text = {events: ['a', 'b'], versions: new Set([1])};
 		void new SampleRun({
-			directory, client, log, line, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
+			directory, client, log, line: queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
 		}, createSample({id: 's', isSingleVersion: true}), stop.signal, text).run();
 		await clock.tickAsync(100);
 		expect(listBegun()).to.deep.equal(['s']);
 	});
 
-	it('keeps a text while nobody is registered, and goes on with it once its version is back', async () => {
+	it('retains a text while no endpoint is registered, and resumes it once its version is available again', async () => {
 		const {directory, client, log, endpoints: [endpoint]} = bench;
 		const registered = directory.get(endpoint!.id)!;
 		directory.remove(endpoint!.id);
 		await clock.tickAsync(1300);
 		const text = {events: ['a', 'b'], versions: new Set([1])};
 		void new SampleRun({
-			directory, client, log, line, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
+			directory, client, log, line: queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
 		}, createSample({id: 's', isSingleVersion: true}), stop.signal, text).run();
 		await clock.tickAsync(3000);
 		directory.put(registered);
@@ -93,11 +93,11 @@
 		expect(endpoint!.runs.map(({resumeAfter}) => resumeAfter)).to.deep.equal([2]);
 	});
 
-	it('leaves the line when its batch stops, and keeps no slot', async () => {
+	it('leaves the queue when its batch stops, and holds no slot', async () => {
 		start([0, 1, 2, 3, 4, 5]);
 		await clock.tickAsync(20);
 		stop.abort();
 		await clock.tickAsync(100);
-		expect([new Set(Object.values(outcomes)), line.size, bench.directory.countOpen('i0')]).to.deep.equal([new Set(['stopped']), 0, 0]);
+		expect([new Set(Object.values(outcomes)), queue.size, bench.directory.countOpen('i0')]).to.deep.equal([new Set(['stopped']), 0, 0]);
 	});
 });
