--- a/packages/systems/__tests__/steps-decisions.spec.ts
+++ b/packages/systems/__tests__/steps-decisions.spec.ts
@@ -6,15 +6,15 @@
 
 /** A step of which all but one sample are done; that one runs slowly at `engine-0`. */
 function createLateStep(): SlotFacts[] {
-	return Array.from({length: 12}, (_, place) => ({
-		place,
-		group: Math.floor(place / 4),
-		state: place === 5 ? 'drawing' : 'done',
-		draws: 1,
+	return Array.from({length: 12}, (_, position) => ({
+		position,
+		group: Math.floor(position / 4),
+		state: position === 5 ? 'drawing' : 'done',
+		startedAttempts: 1,
 		startedAt: 0,
-		attempts: place === 5 ? 1 : 0,
-		tokens: place === 5 ? 2 : 0,
-		endpoint: place === 5 ? 'engine-0' : '',
+		runningAttempts: position === 5 ? 1 : 0,
+		tokens: position === 5 ? 2 : 0,
+		endpoint: position === 5 ? 'engine-0' : '',
 	}));
 }
 
@@ -32,26 +32,26 @@
 
 	it('doubles the last, slow sample where another endpoint is idle', () => {
 		const idle = [{id: 'engine-1', slots: 1, speed: 1}];
-		expect(new StepDecisions().double(createRequest(), createLateStep(), idle)).to.deep.equal([5]);
+		expect(new StepDecisions().planSecondAttempts(createRequest(), createLateStep(), idle)).to.deep.equal([5]);
 	});
 
 	it('doubles nothing where the only idle endpoint is the slow one itself', () => {
 		const idle = [{id: 'engine-0', slots: 1, speed: 1}];
-		expect(new StepDecisions().double(createRequest(), createLateStep(), idle)).to.deep.equal([]);
+		expect(new StepDecisions().planSecondAttempts(createRequest(), createLateStep(), idle)).to.deep.equal([]);
 	});
 
 	it('doubles early what would outlast the rest of the step', () => {
-		const facts = createLateStep().map((slot, place) => {
-			const isRunning = place < 3;
+		const facts = createLateStep().map((slot, position) => {
+			const isRunning = position < 3;
 			return {
 				...slot,
-				state: place === 5 || isRunning ? 'drawing' as const : 'idle' as const,
-				attempts: Number(place === 5 || isRunning),
+				state: position === 5 || isRunning ? 'drawing' as const : 'idle' as const,
+				runningAttempts: Number(position === 5 || isRunning),
 				tokens: isRunning ? 6000 : slot.tokens,
 				endpoint: isRunning ? 'engine-1' : slot.endpoint,
 			};
 		});
 		const idle = [{id: 'engine-2', slots: 1, speed: 1}];
-		expect(new StepDecisions().double(createRequest(), facts, idle)).to.include(5);
+		expect(new StepDecisions().planSecondAttempts(createRequest(), facts, idle)).to.include(5);
 	});
 });
--- a/packages/systems/src/commit-gateway.ts
+++ b/packages/systems/src/commit-gateway.ts
@@ -31,7 +31,7 @@
 const gatherIntervalMs = 200;
 
 /** Longest wait for a gatherer, in milliseconds; above its interval and a slow answer of the store. */
-const answerMs = 2000;
+const answerTimeoutMs = 2000;
 
 export type CommitGatewaySettings = {
 	/** Name of this entry. */
@@ -120,7 +120,7 @@
 		return new Promise((resolve, reject) => {
 			const timer = setTimeout(() => {
 				this.#take(commit)?.reject(new RecordError('unknown', 'the gatherer did not answer'));
-			}, answerMs);
+			}, answerTimeoutMs);
 			this.#pending.set(commit, {
 				gatherer, timer, resolve, reject,
 			});
--- a/packages/systems/src/configuration-adopter.ts
+++ b/packages/systems/src/configuration-adopter.ts
@@ -41,13 +41,13 @@
 const digestTicks = 5;
 
 /** Time after which what was asked of one peer is asked of another, in milliseconds. */
-const askAgainMs = 500;
+const requestRetryMs = 500;
 
 /** Peers whose word a new process takes when the store can not be read. */
-const peersForStart = 3;
+const minPeersForReadiness = 3;
 
 /** Changes for which deltas can be made; over two minutes at the size designed for. */
-const maxSteps = 64;
+const maxDeltaChanges = 64;
 
 /** Where an entry reads the record. */
 export type ConfigurationReader = {
@@ -71,7 +71,7 @@
 };
 
 /** A change that was adopted: what it touched on the way from `from`. */
-type Step = {from: number; changed: ChangedNames};
+type AdoptedChange = {from: number; changed: ChangedNames};
 
 /** How the configuration stands here. */
 export type AdopterStatus = {
@@ -94,12 +94,12 @@
 	};
 
 	#accepted = emptyConfiguration;
-	#steps: Step[] = [];
+	#changes: AdoptedChange[] = [];
 	#ticks = 0;
 	#isReading = false;
 	#isStoreReachable: boolean | undefined;
 	#hasReadStore = false;
-	#asked = {version: 0, at: Number.NEGATIVE_INFINITY};
+	#lastRequest = {version: 0, at: Number.NEGATIVE_INFINITY};
 
 	constructor(settings: ConfigurationAdopterSettings) {
 		this.#settings = settings;
@@ -117,7 +117,7 @@
 		}
 
 		const heard = [...this.#peers.values()].filter(version => version !== undefined && version > 0);
-		const needed = Math.max(1, Math.min(peersForStart, this.#peers.size));
+		const needed = Math.max(1, Math.min(minPeersForReadiness, this.#peers.size));
 		return heard.length >= needed && this.#accepted.version >= Math.max(...heard.map(version => version!));
 	}
 
@@ -167,12 +167,12 @@
 		this.#isReading = true;
 		try {
 			const head = await reader.history.readHead();
-			this.#noteStore(true);
+			this.#updateStoreReachable(true);
 			this.#hasReadStore = true;
 			// A store that was set back must not set back what is in force.
 			return head.version > this.#accepted.version ? this.#adopt(head) : [];
 		} catch (error) {
-			this.#noteStore(false);
+			this.#updateStoreReachable(false);
 			log.debug('configuration_unreadable', {reason: describeError(error)});
 			return [];
 		} finally {
@@ -188,7 +188,7 @@
 		return !this.isReady || readers.includes(name);
 	}
 
-	#noteStore(isReachable: boolean): void {
+	#updateStoreReachable(isReachable: boolean): void {
 		if (this.#isStoreReachable === isReachable) {
 			return;
 		}
@@ -208,20 +208,20 @@
 		const isAsked = this.#peers.get(from) === undefined;
 		this.#peers.set(from, version);
 		if (version > this.#accepted.version) {
-			return isAsked ? [] : this.#ask(from, version);
+			return isAsked ? [] : this.#requestUpdate(from, version);
 		}
 
 		return version < this.#accepted.version ? [this.#createUpdate(from, version)] : [];
 	}
 
 	/** Asks by telling the own version, unless the same was asked of another a moment ago. */
-	#ask(from: string, version: number): ConfigurationOutput[] {
+	#requestUpdate(from: string, version: number): ConfigurationOutput[] {
 		const now = performance.now();
-		if (version <= this.#asked.version && now - this.#asked.at < askAgainMs) {
+		if (version <= this.#lastRequest.version && now - this.#lastRequest.at < requestRetryMs) {
 			return [];
 		}
 
-		this.#asked = {version, at: now};
+		this.#lastRequest = {version, at: now};
 		return [this.#createDigest(from)];
 	}
 
@@ -250,7 +250,7 @@
 			return [];
 		}
 
-		this.#steps = [...this.#steps, {from: this.#accepted.version, changed: findChangedNames(this.#accepted.configuration, accepted.configuration)}].slice(-maxSteps);
+		this.#changes = [...this.#changes, {from: this.#accepted.version, changed: findChangedNames(this.#accepted.configuration, accepted.configuration)}].slice(-maxDeltaChanges);
 		this.#accepted = accepted;
 		log.info('configuration_adopted', {version: accepted.version, author: accepted.author, from});
 		onAdopted(accepted);
@@ -264,12 +264,12 @@
 	}
 
 	#createUpdate(to: string, version: number): ConfigurationOutput {
-		const first = this.#steps.findLastIndex(({from}) => from <= version);
+		const first = this.#changes.findLastIndex(({from}) => from <= version);
 		if (first === -1 || version === 0) {
 			return {to, message: {kind: 'configuration', accepted: this.#accepted}};
 		}
 
-		const steps = this.#steps.slice(first);
+		const steps = this.#changes.slice(first);
 		const changed = {
 			profiles: new Set(steps.flatMap(step => [...step.changed.profiles])),
 			services: new Set(steps.flatMap(step => [...step.changed.services])),
--- a/packages/systems/src/objective-metrics.ts
+++ b/packages/systems/src/objective-metrics.ts
@@ -29,7 +29,7 @@
 	 */
 	record(profile: string, objective: Objective, isGood: boolean, weight = 1): void {
 		if (this.#profiles()[profile]?.objective[objective] !== undefined) {
-			this.#find(profile, objective).record(isGood, performance.now(), weight);
+			this.#findCounts(profile, objective).record(isGood, performance.now(), weight);
 		}
 	}
 
@@ -82,11 +82,11 @@
 	#list(): Row[] {
 		return Object.entries(this.#profiles()).flatMap(([profile, {objective: objectives}]) => listTargets(objectives)
 			.map(([objective, target]) => ({
-				profile, objective, target, counts: this.#find(profile, objective),
+				profile, objective, target, counts: this.#findCounts(profile, objective),
 			})));
 	}
 
-	#find(profile: string, objective: Objective): ObjectiveCounts {
+	#findCounts(profile: string, objective: Objective): ObjectiveCounts {
 		const key = `${profile} ${objective}`;
 		const known = this.#counts.get(key);
 		if (known) {
--- a/packages/systems/src/part-gatherer.ts
+++ b/packages/systems/src/part-gatherer.ts
@@ -13,10 +13,10 @@
  * How long a part may wait for others, in milliseconds. Nobody sees 8 ms between tokens on a
  * screen (60 pictures a second); nobody at all reads a rollout while it is made.
  */
-const gatherMs: Readonly<Record<PriorityClass, number>> = {interactive: 8, rollout: 50, background: 50};
+const coalescingMs: Readonly<Record<PriorityClass, number>> = {interactive: 8, rollout: 50, background: 50};
 
 /** Parts a second at one agent up to which those of interactive callers go out as they come: some 2% of a core. */
-const calmRate = 2000;
+const lowRatePartsPerSecond = 2000;
 
 /** Time over which the rate is measured, in milliseconds. */
 const rateWindowMs = 100;
@@ -27,8 +27,8 @@
 	#count = 0;
 	#perSecond = 0;
 
-	get isCalm(): boolean {
-		return this.#perSecond <= calmRate;
+	get isLow(): boolean {
+		return this.#perSecond <= lowRatePartsPerSecond;
 	}
 
 	record(now: number): void {
@@ -44,7 +44,7 @@
 
 /** How long a part of a class may wait for others at this rate, in milliseconds. */
 export function findGatherMs(name: PriorityClass, rate: PartRate): number {
-	return name === 'interactive' && rate.isCalm ? 0 : gatherMs[name];
+	return name === 'interactive' && rate.isLow ? 0 : coalescingMs[name];
 }
 
 /** Parts of one stream on their way to its entry. */
--- a/packages/systems/src/placement-runner.ts
+++ b/packages/systems/src/placement-runner.ts
@@ -26,13 +26,13 @@
 };
 
 /** How often demand is measured and a plan made, in milliseconds; demand moves over minutes. */
-const planMs = 1000;
+const planIntervalMs = 1000;
 
 /** Longest time for a change until it is given up, in milliseconds: two orders of 30 s. */
-const changeMs = 65_000;
+const changeTimeoutMs = 65_000;
 
 /** Time that a change takes an engine out until one was measured, in milliseconds: weights of some 100 GB at 10 GB/s. */
-const assumedCostMs = 10_000;
+const initialCostMs = 10_000;
 
 /** Part of that for another adapter of the same model, whose weights are there. */
 const adapterCostRatio = 0.1;
@@ -52,7 +52,7 @@
 	#history = new DemandHistory();
 	readonly #moves = new Map<string, Move>();
 	readonly #changedAt = new Map<string, number>();
-	#costMs = assumedCostMs;
+	#costMs = initialCostMs;
 	#plannedAt = Number.NEGATIVE_INFINITY;
 	#orderCount = 0;
 
@@ -73,11 +73,11 @@
 	tick(): void {
 		const now = performance.now();
 		if (!this.#settings.lease.holds()) {
-			this.#forget();
+			this.#reset();
 			return;
 		}
 
-		if (now - this.#plannedAt < planMs) {
+		if (now - this.#plannedAt < planIntervalMs) {
 			return;
 		}
 
@@ -201,7 +201,7 @@
 	/** The answer may be lost; what the engine holds shows in its status. */
 	#expireMoves(now: number): void {
 		for (const [agent, {startedAt}] of this.#moves) {
-			if (now - startedAt > changeMs) {
+			if (now - startedAt > changeTimeoutMs) {
 				this.#end(agent, now);
 			}
 		}
@@ -213,7 +213,7 @@
 	}
 
 	/** Another holder goes on. */
-	#forget(): void {
+	#reset(): void {
 		this.#moves.clear();
 		this.#changedAt.clear();
 		this.#history = new DemandHistory();
--- a/packages/systems/src/poll-until.ts
+++ b/packages/systems/src/poll-until.ts
@@ -3,7 +3,7 @@
  */
 
 /** How often it is looked at, in milliseconds. */
-const pollMs = 20;
+const pollIntervalMs = 20;
 
 /** Resolves to whether the state holds, at the latest after the given time. */
 export async function pollUntil(holds: () => boolean, timeoutMs: number): Promise<boolean> {
@@ -12,7 +12,7 @@
 		// Each look waits for the one before.
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise(resolve => {
-			setTimeout(resolve, pollMs);
+			setTimeout(resolve, pollIntervalMs);
 		});
 	}
 
--- a/packages/systems/src/rollout-progress.ts
+++ b/packages/systems/src/rollout-progress.ts
@@ -4,10 +4,10 @@
 import {failReplica, maxFailures, type Replica} from '@wasabiusher/decisions';
 
 /** Longest time from the answer to a swap until its version shows in a status, in milliseconds; the status goes first. */
-const statusMs = 3000;
+const statusTimeoutMs = 3000;
 
 /** Failed fetches after which an endpoint is told to swap all the same: its engine may not know how to fetch ahead. */
-const fetchFailures = 2;
+const maxFetchFailures = 2;
 
 /** One endpoint on its way to a version. */
 export type Progress = {
@@ -30,22 +30,22 @@
  * @param reported - its version
  * @param wanted - the version of the rollout
  */
-export function followReport(known: Progress, reported: number, wanted: number): Progress {
+export function applyReport(known: Progress, reported: number, wanted: number): Progress {
 	const {replica, swappedAt} = known;
 	if (reported >= wanted) {
 		return {...createProgress(replica.id), replica: {id: replica.id, state: 'current', failures: 0}};
 	}
 
 	// It was there and is no longer, or never showed: the engine was started anew.
-	const isLost = replica.state === 'current' || (swappedAt !== undefined && performance.now() - swappedAt > statusMs);
+	const isLost = replica.state === 'current' || (swappedAt !== undefined && performance.now() - swappedAt > statusTimeoutMs);
 	return isLost ? createProgress(replica.id) : known;
 }
 
 /** An order has failed; the endpoint is tried again later, and told to swap if it can not fetch ahead. */
-export function failProgress(known: Progress, kind: 'prefetch' | 'load', detail: string): Progress {
+export function applyFailure(known: Progress, kind: 'prefetch' | 'load', detail: string): Progress {
 	const replica = failReplica(known.replica, performance.now());
 	const failedFetches = known.fetchFailures + (kind === 'prefetch' ? 1 : 0);
-	const state = failedFetches >= fetchFailures ? 'fetched' : replica.state;
+	const state = failedFetches >= maxFetchFailures ? 'fetched' : replica.state;
 	return {replica: {...replica, state}, fetchFailures: failedFetches, detail};
 }
 
--- a/packages/systems/src/steps-drawing.ts
+++ b/packages/systems/src/steps-attempt.ts
@@ -1,5 +1,5 @@
 /**
- * One attempt at a sample: a call that is dispatched, and the draft that its parts make.
+ * One attempt at a sample: a dispatched call, and the draft that its parts are collected into.
  */
 import {
 	appendSpan, hashText, type GenerationPart, type GenerationRequest, type Problem, type VersionSpan,
@@ -7,43 +7,43 @@
 import type {
 	Call, CallListener, Dispatcher,
 } from './dispatcher.js';
-import {formatPlace, type StepRequest} from './steps-request.js';
+import {formatSampleIdAt, type StepRequest} from './steps-request.js';
 
-/** What has been made of a sample so far; the versions are the engine's own word. */
+/** The part of a sample generated so far; the versions are those that the engine reports. */
 export type Draft = {text: string; tokens: number; versions: VersionSpan[]};
 
-/** An attempt on its way. */
-export type Drawing = {
+/** A dispatched attempt. */
+export type SampleAttempt = {
 	readonly draft: Draft;
-	/** Where it runs; empty while it waits. */
+	/** Endpoints where the attempt runs; empty while it waits. */
 	readonly endpoints: readonly string[];
-	/** Stops the work; its listener hears nothing more. */
+	/** Stops the attempt; its listener is not called any more. */
 	cancel(): void;
 };
 
-/** Exactly one of the two is called, unless the attempt is cancelled. */
-export type DrawingListener = {
+/** Exactly one of the two methods is called, unless the attempt is cancelled. */
+export type SampleAttemptListener = {
 	onFinished(draft: Draft): void;
 	onFailed(problem?: Problem): void;
 };
 
-/** Which attempt to make. */
-export type DrawingOrder = {
+/** Describes the attempt to start. */
+export type SampleAttemptOptions = {
 	request: StepRequest;
-	place: number;
+	position: number;
 	attempt: string;
-	/** Endpoints where other attempts at the place run. */
+	/** Endpoints where other attempts at the same sample run. */
 	avoid: readonly string[];
 };
 
-/** Dispatches one attempt at the sample of a place. */
-export function drawSample(dispatcher: Pick<Dispatcher, 'submit'>, {request, place, attempt, avoid}: DrawingOrder, listener: DrawingListener): Drawing {
+/** Dispatches one attempt at the sample at a position. */
+export function startSampleAttempt(dispatcher: Pick<Dispatcher, 'submit'>, {request, position, attempt, avoid}: SampleAttemptOptions, listener: SampleAttemptListener): SampleAttempt {
 	let draft = createDraft();
-	let isOver = false;
+	let isEnded = false;
 	let isCancelled = false;
-	// A dispatcher may refuse while it is still being asked, and the caller does not have its drawing yet then.
+	// A dispatcher may refuse synchronously, before the caller has received the attempt, so the report is deferred.
 	const end = (report: () => void) => {
-		isOver = true;
+		isEnded = true;
 		void Promise.resolve().then(() => {
 			if (!isCancelled) {
 				report();
@@ -59,7 +59,7 @@
 				}
 			} else if (event.kind === 'finished') {
 				end(() => {
-					// A generation that ended without a reason is not whole.
+					// A generation that ended without a finish reason is incomplete.
 					if (event.reason === undefined) {
 						listener.onFailed();
 					} else {
@@ -79,7 +79,7 @@
 		},
 	};
 	const run = dispatcher.submit(createCall({
-		request, place, attempt, avoid,
+		request, position, attempt, avoid,
 	}), callListener);
 	return {
 		get draft() {
@@ -90,7 +90,7 @@
 		},
 		cancel() {
 			isCancelled = true;
-			if (!isOver) {
+			if (!isEnded) {
 				run.cancel();
 			}
 		},
@@ -105,14 +105,14 @@
 	return {text: text + part.text, tokens: tokens + part.tokens, versions: appendSpan(versions, part.version, part.tokens)};
 }
 
-function createCall({request, place, attempt, avoid}: DrawingOrder): Call {
+function createCall({request, position, attempt, avoid}: SampleAttemptOptions): Call {
 	const {
 		groups, groupSize, model, maxTokens, profile, profileName, service, trainer,
 	} = request;
-	const {prompt} = groups[Math.floor(place / groupSize)]!;
+	const {prompt} = groups[Math.floor(position / groupSize)]!;
 	const generation: GenerationRequest = {model, prompt, maxTokens};
 	return {
-		id: `${formatPlace(request, place)}#${attempt}`,
+		id: `${formatSampleIdAt(request, position)}#${attempt}`,
 		service,
 		model,
 		work: {kind: 'generate', request: generation},
--- a/packages/systems/src/steps-cursor.ts
+++ b/packages/systems/src/steps-cursor.ts
@@ -1,17 +1,17 @@
 /**
- * The set of a step's samples that a trainer has, written as a cursor.
+ * Encodes the set of a step's samples that a trainer has received as a cursor.
  *
- * The cursor names exactly the samples received, so any entry can go on from it, one that has never heard of the
- * earlier hand-overs included: a place in one entry's order of delivery could not. It is a bitmap in base64, after a
- * letter that tells it from a number: 343 characters for the 2,048 samples of a step.
+ * The cursor identifies exactly the samples received, so any entry can continue from it, even one without a record of the
+ * earlier deliveries. An offset into one entry's delivery order would not allow that. The cursor is a base64url bitmap with a
+ * one-letter prefix that distinguishes it from a number: 343 characters for the 2,048 samples of a step.
  */
 import {Buffer} from 'node:buffer';
 
-const mark = 'r';
+const cursorPrefix = 'r';
 
-/** Samples of one step, by their place in it. */
+/** A set of samples of one step, by their position in the step. */
 export class SampleSet {
-	/** Reads a cursor; undefined if it is not one of a step of this size. Empty and `0` stand for nothing received. */
+	/** Parses a cursor; returns undefined if it is not valid for a step of this size. An empty cursor and `0` mean that nothing was received. */
 	static parse(text: string, total: number): SampleSet | undefined {
 		const set = new SampleSet(total);
 		if (text === '' || text === '0') {
@@ -22,7 +22,7 @@
 			return undefined;
 		}
 
-		const bytes = Buffer.from(text.slice(mark.length), 'base64url');
+		const bytes = Buffer.from(text.slice(cursorPrefix.length), 'base64url');
 		for (const [byte, bits] of bytes.entries()) {
 			for (let bit = 0; bit < 8; bit += 1) {
 				if (Math.floor(bits / (2 ** bit)) % 2 === 1 && !set.#tryAdd((byte * 8) + bit)) {
@@ -37,7 +37,7 @@
 	readonly #bits: Uint8Array;
 	#size = 0;
 
-	/** @param total - samples of the step */
+	/** @param total - number of samples in the step */
 	constructor(readonly total: number) {
 		this.#bits = new Uint8Array(Math.ceil(total / 8));
 	}
@@ -46,43 +46,43 @@
 		return this.#size;
 	}
 
-	has(place: number): boolean {
-		return Math.floor(this.#bits[Math.floor(place / 8)]! / (2 ** (place % 8))) % 2 === 1;
+	has(position: number): boolean {
+		return Math.floor(this.#bits[Math.floor(position / 8)]! / (2 ** (position % 8))) % 2 === 1;
 	}
 
-	add(place: number): void {
-		if (!this.has(place)) {
-			this.#bits[Math.floor(place / 8)]! += 2 ** (place % 8);
+	add(position: number): void {
+		if (!this.has(position)) {
+			this.#bits[Math.floor(position / 8)]! += 2 ** (position % 8);
 			this.#size += 1;
 		}
 	}
 
-	/** Adds all of another set. */
+	/** Adds all samples of another set. */
 	addAll(other: SampleSet): void {
-		for (const place of other) {
-			this.add(place);
+		for (const position of other) {
+			this.add(position);
 		}
 	}
 
-	/** The cursor. */
+	/** Returns the cursor. */
 	format(): string {
 		const length = this.#bits.findLastIndex(bits => bits > 0) + 1;
-		return length === 0 ? '' : mark + Buffer.from(this.#bits.subarray(0, length)).toString('base64url');
+		return length === 0 ? '' : cursorPrefix + Buffer.from(this.#bits.subarray(0, length)).toString('base64url');
 	}
 
 	* [Symbol.iterator](): IterableIterator<number> {
-		for (let place = 0; place < this.total; place += 1) {
-			if (this.has(place)) {
-				yield place;
+		for (let position = 0; position < this.total; position += 1) {
+			if (this.has(position)) {
+				yield position;
 			}
 		}
 	}
 
-	#tryAdd(place: number): boolean {
-		if (place < this.total) {
-			this.add(place);
+	#tryAdd(position: number): boolean {
+		if (position < this.total) {
+			this.add(position);
 		}
 
-		return place < this.total;
+		return position < this.total;
 	}
 }
--- a/packages/systems/src/steps-freshness.ts
+++ b/packages/systems/src/steps-freshness.ts
@@ -1,8 +1,8 @@
 /**
- * How stale a sample is for its trainer: in versions, and in seconds since its oldest part was superseded.
+ * Measures how stale a sample is for its trainer: in versions, and in seconds since the version of its oldest part was superseded.
  *
- * Versions are those that the engine reported for each part, never those that were ordered. Times are counted from
- * when this process first heard of a version, by a report of an engine or by a trainer's pull.
+ * Versions are those that the engine reported for each part, never those that were ordered. Times are measured from
+ * when a version was first reported to this process, by an engine or by a trainer's pull.
  */
 import {isStale} from '@wasabiusher/decisions';
 import {
@@ -10,16 +10,16 @@
 } from '@wasabiusher/shared';
 import type {FreshnessFacts} from './invariants.js';
 
-/** Versions of a model that are remembered; at one every few minutes, some hours. */
+/** Maximum number of versions kept per model; some hours' worth at one version every few minutes. */
 const maxVersions = 64;
 
-/** When versions of models were first heard of, on the monotonic clock. */
+/** Records when each version of a model was first reported, on the monotonic clock. */
 export class VersionClock {
-	readonly #firstHeard = new Map<string, Map<number, number>>();
+	readonly #firstReportedAt = new Map<string, Map<number, number>>();
 
-	note(model: string, version: number): void {
-		const versions = this.#firstHeard.get(model) ?? new Map<number, number>();
-		this.#firstHeard.set(model, versions);
+	record(model: string, version: number): void {
+		const versions = this.#firstReportedAt.get(model) ?? new Map<number, number>();
+		this.#firstReportedAt.set(model, versions);
 		if (!versions.has(version)) {
 			versions.set(version, performance.now());
 		}
@@ -29,21 +29,21 @@
 		}
 	}
 
-	/** When a version newer than the given one was first heard of, on the monotonic clock; undefined if none was. */
+	/** Returns when a version newer than the given one was first reported, on the monotonic clock; undefined if none was. */
 	findSupersededAt(model: string, version: number): number | undefined {
-		const newer = [...this.#firstHeard.get(model) ?? []].filter(([other]) => other > version);
+		const newer = [...this.#firstReportedAt.get(model) ?? []].filter(([other]) => other > version);
 		return newer.length === 0 ? undefined : Math.min(...newer.map(([, at]) => at));
 	}
 }
 
-/** A sample, or the draft of one. */
-export type Dated = {id: string; model: string; versions: readonly VersionSpan[]};
+/** A sample or a draft of one, with its versions. */
+export type VersionedSample = {id: string; model: string; versions: readonly VersionSpan[]};
 
-/** By what samples are judged. */
+/** What the staleness of samples is checked against. */
 export type FreshnessTerms = {freshness: Freshness | undefined; clock: VersionClock; trainerVersion: number};
 
-/** Describes how stale a sample is, for the invariant and the metric; a draft without any part is as fresh as can be. */
-export function describeFreshness({id, model, versions}: Dated, {freshness, clock, trainerVersion}: FreshnessTerms): FreshnessFacts {
+/** Returns how stale a sample is, for the invariant and the metric; a draft without parts counts as having the trainer's version. */
+export function describeFreshness({id, model, versions}: VersionedSample, {freshness, clock, trainerVersion}: FreshnessTerms): FreshnessFacts {
 	const oldest = versions.length === 0 ? trainerVersion : findOldestVersion(versions);
 	const supersededAt = clock.findSupersededAt(model, oldest);
 	return {
@@ -55,8 +55,8 @@
 	};
 }
 
-/** Whether a sample may be handed over, by the decision on staleness. */
-export function isFresh({model, versions}: Dated, {freshness, clock, trainerVersion}: FreshnessTerms): boolean {
+/** Returns whether a sample is fresh enough to be delivered. */
+export function isFresh({model, versions}: VersionedSample, {freshness, clock, trainerVersion}: FreshnessTerms): boolean {
 	if (!freshness || versions.length === 0) {
 		return true;
 	}
--- a/packages/systems/src/steps-maker.ts
+++ b/packages/systems/src/steps-maker.ts
@@ -1,31 +1,31 @@
 /**
- * Makes the samples of a step: draws, scores, and draws again what failed or turned stale.
+ * Makes the samples of a step: draws and scores them, and redraws samples that failed or became stale.
  *
- * The first attempt that finishes is the sample of its place; the others are stopped, and what they still send
- * is dropped.
+ * The first attempt that finishes becomes the sample of its position; the other attempts are cancelled and their
+ * further output is dropped.
  */
 import {randomUUID} from 'node:crypto';
 import type {Problem, Random, Sample} from '@wasabiusher/shared';
 import type {Dispatcher} from './dispatcher.js';
 import type {Invariants} from './invariants.js';
 import type {StepDecisions} from './steps-decisions.js';
-import {drawSample, type Draft} from './steps-drawing.js';
+import {startSampleAttempt, type Draft} from './steps-attempt.js';
 import type {StepEndpoints} from './steps-endpoints.js';
 import {
-	isFresh, type Dated, type FreshnessTerms, type VersionClock,
+	isFresh, type VersionedSample, type FreshnessTerms, type VersionClock,
 } from './steps-freshness.js';
 import type {StepMetrics} from './steps-metrics.js';
-import {formatPlace, type StepRequest} from './steps-request.js';
+import {formatSampleIdAt, type StepRequest} from './steps-request.js';
 import type {Scorer} from './steps-scoring.js';
-import {cancelDrawings, type Slot} from './steps-slots.js';
+import {cancelAttempts, type Slot} from './steps-slots.js';
 
-/** Least wait before a sample that failed is drawn again, in milliseconds. */
-const redrawMs = 200;
+/** Minimum delay before a failed sample is redrawn, in milliseconds. */
+const minRedrawDelayMs = 200;
 
-/** Problems that drawing again would not cure. */
-const finalProblems = new Set<Problem['kind']>(['bad-request', 'not-found', 'quarantined', 'too-large']);
+/** Kinds of problems that a redraw would not resolve. */
+const permanentProblems = new Set<Problem['kind']>(['bad-request', 'not-found', 'quarantined', 'too-large']);
 
-/** What all steps of a process share. */
+/** Dependencies and state shared by all steps of a process. */
 export type StepContext = {
 	dispatcher: Pick<Dispatcher, 'submit'>;
 	scorer: Scorer;
@@ -35,28 +35,28 @@
 	random: Random;
 	decisions: StepDecisions;
 	endpoints: StepEndpoints;
-	/** Text held by all steps of the process, in characters. */
+	/** Length of the text held by all steps of the process, in characters. */
 	held: {length: number};
 };
 
-/** Who is told of what was made. */
+/** Receives the changes of a step's samples. */
 export type MakerListener = {
-	/** By what samples are judged at this moment. */
+	/** Returns what the staleness of samples is currently checked against. */
 	describeTerms(): FreshnessTerms;
-	/** A sample was finished here. */
+	/** Called with each sample that was finished in this process. */
 	onReady(sample: Sample): void;
-	/** A place is to be drawn anew. */
+	/** Called when a sample has to be redrawn. */
 	onIdle(): void;
-	/** A place has changed: more may be drawn or handed over. */
+	/** Called when the state of a sample has changed, so that more samples may be drawn or delivered. */
 	onChange(): void;
 };
 
-/** Makes samples of one step. */
+/** Makes the samples of one step. */
 export class SampleMaker {
 	readonly #request: StepRequest;
 	readonly #context: StepContext;
 	readonly #listener: MakerListener;
-	/** Tells the attempts of this run of the step from those of another entry. */
+	/** Distinguishes the attempts of this run of the step from those of another entry. */
 	readonly #incarnation = randomUUID().slice(0, 8);
 	#outstanding = 0;
 	#heldLength = 0;
@@ -67,20 +67,20 @@
 		this.#listener = listener;
 	}
 
-	/** Attempts under way. */
+	/** Number of running attempts. */
 	get outstanding(): number {
 		return this.#outstanding;
 	}
 
-	/** Text held, in characters. */
+	/** Length of the held text, in characters. */
 	get heldLength(): number {
 		return this.#heldLength;
 	}
 
-	/** Dispatches an attempt. */
-	draw(slot: Slot): void {
-		slot.draws += 1;
-		const number = slot.draws;
+	/** Dispatches an attempt at a sample. */
+	startAttempt(slot: Slot): void {
+		slot.startedAttempts += 1;
+		const number = slot.startedAttempts;
 		if (slot.state === 'idle') {
 			slot.state = 'drawing';
 			slot.startedAt = performance.now();
@@ -88,12 +88,12 @@
 
 		this.#outstanding += 1;
 		const {dispatcher} = this.#context;
-		// A second attempt beside a slow one would be as slow where that one runs.
-		const avoid = [...slot.drawings.values()].flatMap(({endpoints}) => endpoints);
-		const order = {
-			request: this.#request, place: slot.place, attempt: `${this.#incarnation}-${number}`, avoid,
+		// A second attempt on the endpoint of a slow first one would be just as slow.
+		const avoid = [...slot.attempts.values()].flatMap(({endpoints}) => endpoints);
+		const options = {
+			request: this.#request, position: slot.position, attempt: `${this.#incarnation}-${number}`, avoid,
 		};
-		slot.drawings.set(number, drawSample(dispatcher, order, {
+		slot.attempts.set(number, startSampleAttempt(dispatcher, options, {
 			onFinished: draft => {
 				void this.#finish(slot, number, draft);
 			},
@@ -103,29 +103,29 @@
 		}));
 	}
 
-	/** Keeps a sample until it is released; attempts at its place are stopped. */
+	/** Holds a sample until it is released, and cancels the attempts at its position. */
 	hold(slot: Slot, sample: Sample): void {
 		this.release(slot);
 		slot.sample = sample;
 		slot.state = 'ready';
-		this.#addHeld(sample.text.length);
+		this.#addHeldLength(sample.text.length);
 	}
 
-	/** Stops attempts at a place and lets go of its sample. */
+	/** Cancels the attempts at a position and releases its sample. */
 	release(slot: Slot): void {
-		this.#outstanding -= slot.drawings.size;
-		cancelDrawings(slot);
-		this.#addHeld(-(slot.sample?.text.length ?? 0));
+		this.#outstanding -= slot.attempts.size;
+		cancelAttempts(slot);
+		this.#addHeldLength(-(slot.sample?.text.length ?? 0));
 		slot.sample = undefined;
 	}
 
-	/** Gives up what is too stale for the trainer, finished or not; true if it was. */
-	giveUpIfStale(slot: Slot): boolean {
-		const {id, model} = {id: formatPlace(this.#request, slot.place), model: this.#request.model};
-		const dated: Dated[] = slot.sample ? [slot.sample] : [...slot.drawings.values()].map(({draft: {versions}}) => ({id, model, versions}));
+	/** Discards a finished or unfinished sample that is too stale for the trainer; returns whether it was. */
+	discardIfStale(slot: Slot): boolean {
+		const {id, model} = {id: formatSampleIdAt(this.#request, slot.position), model: this.#request.model};
+		const versioned: VersionedSample[] = slot.sample ? [slot.sample] : [...slot.attempts.values()].map(({draft: {versions}}) => ({id, model, versions}));
 		const terms = this.#listener.describeTerms();
-		// Attempts race, so a place is given up when none of them can be handed over any more.
-		if (dated.length === 0 || dated.some(one => isFresh(one, terms))) {
+		// Attempts race, so they are discarded only when none of them can be delivered any more.
+		if (versioned.length === 0 || versioned.some(candidate => isFresh(candidate, terms))) {
 			return false;
 		}
 
@@ -137,7 +137,7 @@
 		return true;
 	}
 
-	#addHeld(length: number): void {
+	#addHeldLength(length: number): void {
 		this.#heldLength += length;
 		this.#context.held.length += length;
 	}
@@ -146,7 +146,7 @@
 		const {invariants, scorer, clock, decisions} = this.#context;
 		const sample = this.#createSample(slot, number, draft);
 		for (const {version} of draft.versions) {
-			clock.note(this.#request.model, version);
+			clock.record(this.#request.model, version);
 		}
 
 		if (draft.tokens === 0 || !invariants.checkVersionsNamed(sample)) {
@@ -154,17 +154,17 @@
 			return;
 		}
 
-		decisions.noteFinished(this.#request, slot, draft.tokens);
+		decisions.recordFinishedSample(this.#request, slot, draft.tokens);
 		this.hold(slot, sample);
-		// What is stale already need not be scored.
-		if (this.giveUpIfStale(slot)) {
+		// A sample that is already stale is not scored.
+		if (this.discardIfStale(slot)) {
 			this.#listener.onChange();
 			return;
 		}
 
 		slot.state = 'scoring';
 		const score = await scorer.score(sample, this.#request.profile);
-		// Meanwhile it may have been acknowledged, given up or replaced.
+		// The sample may have been acknowledged, discarded or replaced while it was scored.
 		if (slot.sample !== sample || slot.state !== 'scoring') {
 			return;
 		}
@@ -175,22 +175,22 @@
 		this.#listener.onChange();
 	}
 
-	#createSample({place, group}: Slot, attempt: number, {text, tokens, versions}: Draft): Sample {
+	#createSample({position, group}: Slot, attempt: number, {text, tokens, versions}: Draft): Sample {
 		const {id: step, groupSize, model} = this.#request;
 		return {
-			id: formatPlace(this.#request, place), step, group, index: place % groupSize, attempt, model, versions, text, tokens,
+			id: formatSampleIdAt(this.#request, position), step, group, index: position % groupSize, attempt, model, versions, text, tokens,
 		};
 	}
 
 	#fail(slot: Slot, number: number, problem?: Problem): void {
-		slot.drawings.delete(number);
+		slot.attempts.delete(number);
 		this.#outstanding -= 1;
-		// Another attempt at the place may still finish.
-		if (slot.drawings.size > 0) {
+		// Another attempt at this position may still finish.
+		if (slot.attempts.size > 0) {
 			return;
 		}
 
-		if (problem && finalProblems.has(problem.kind)) {
+		if (problem && permanentProblems.has(problem.kind)) {
 			slot.state = 'failed';
 			slot.problem = problem;
 			this.#listener.onChange();
@@ -198,10 +198,10 @@
 		}
 
 		this.#context.metrics.recordRedrawn(this.#request, 'failed');
-		this.#drawLater(slot, Math.max(redrawMs, problem?.retryAfterMs ?? 0));
+		this.#redrawLater(slot, Math.max(minRedrawDelayMs, problem?.retryAfterMs ?? 0));
 	}
 
-	#drawLater(slot: Slot, waitMs: number): void {
+	#redrawLater(slot: Slot, waitMs: number): void {
 		slot.state = 'idle';
 		const jitteredMs = waitMs * (1 + this.#context.random.next());
 		slot.notBefore = performance.now() + jitteredMs;
--- a/packages/systems/src/steps-metrics.ts
+++ b/packages/systems/src/steps-metrics.ts
@@ -1,30 +1,30 @@
 /**
- * What is measured of steps: how long trainers wait, how stale their samples are, and what was made again.
+ * Metrics of steps: how long trainers wait, how stale their samples are, and how many samples were redrawn.
  */
 import {Counter, Histogram, type Registry} from 'prom-client';
 import type {ObjectiveMetrics} from './objective-metrics.js';
 import type {StepRequest} from './steps-request.js';
 import {TrainerTime} from './trainer-time.js';
 
-/** Why a sample was drawn again. */
+/** Why a sample was redrawn. */
 export type RedrawReason = 'stale' | 'failed';
 
 /** Metrics of all steps of a process. */
 export class StepMetrics {
-	/** Time for which a pull was open with nothing to hand over, in seconds, one observation a wait. */
+	/** Time for which a pull waited with nothing to deliver, in seconds; one observation per wait. */
 	readonly idle: Histogram;
-	/** Versions that samples lay behind the trainer's at hand-over. */
+	/** Number of versions that samples were behind the trainer's version at delivery. */
 	readonly staleness: Histogram;
 	readonly delivered: Counter;
 	readonly redrawn: Counter<'reason'>;
-	/** Samples handed over without the score that their profile asks for. */
+	/** Samples delivered without the score that their profile requires. */
 	readonly unscored: Counter;
 	readonly trainers: TrainerTime;
 	readonly #objectives: Pick<ObjectiveMetrics, 'record'> | undefined;
 
 	/**
-	 * @param registry - where they are published; none in tests that do not read them
-	 * @param objectives - where events of the burn report are counted
+	 * @param registry - where the metrics are published; undefined in tests that do not read them
+	 * @param objectives - where the events for the burn report are counted
 	 */
 	constructor(registry?: Registry, objectives?: Pick<ObjectiveMetrics, 'record'>) {
 		this.#objectives = objectives;
@@ -49,14 +49,14 @@
 		this.unscored = new Counter({name: 'wasabiusher_samples_unscored_total', help: 'Samples handed over without the score asked for', registers});
 	}
 
-	/** A sample was handed over. */
+	/** Records a delivered sample. */
 	recordDelivered({profileName}: StepRequest, versionsBehind: number): void {
 		this.delivered.inc();
 		this.staleness.observe(Math.max(0, versionsBehind));
 		this.#objectives?.record(profileName, 'fresh', true);
 	}
 
-	/** A sample is drawn again; work that was finished in vain counts against the objective. */
+	/** Records a redrawn sample; a finished sample that was discarded as stale counts against the objective. */
 	recordRedrawn({profileName}: StepRequest, reason: RedrawReason, wasFinished = false): void {
 		this.redrawn.inc({reason});
 		if (reason === 'stale' && wasFinished) {
--- a/packages/systems/src/steps-placement.ts
+++ b/packages/systems/src/steps-placement.ts
@@ -1,37 +1,37 @@
 /**
- * Where a step is run, and what is said when it is not to be had.
+ * Where a step is run, and the problems returned when it cannot be provided.
  */
 import type {RecordedStep} from '@wasabiusher/record';
 import {createProblem, type Problem, type ProblemKind} from '@wasabiusher/shared';
 import {SampleSet} from './steps-cursor.js';
 import type {Step} from './steps-step.js';
 
-/** When a trainer should come back after a refusal, in milliseconds. */
+/** Delay after which a trainer should retry a refused request, in milliseconds. */
 const retryAfterMs = 1000;
 
 /** Where a step is run. */
 export type Placement
 	= | {kind: 'here'; step: Step}
-	/** `ip:port` of the entry that runs it. */
+	/** `address` is the `ip:port` of the entry that runs the step. */
 		| {kind: 'elsewhere'; address: string}
 		| {kind: 'refused'; problem: Problem};
 
 export type FindOptions = {
-	/** The entry that holds the lease did not answer, or is this one asking on another's behalf: do not point to it. */
+	/** The entry that holds the lease did not answer, or is this entry acting for another one: do not return the holder's address. */
 	isOwnerGone?: boolean;
 };
 
-/** Places that the trainer has for good; of a step that was closed all. */
+/** Returns the positions of the acknowledged samples; all positions of a closed step. */
 export function listAcknowledged(step: Step, {isClosed, acknowledged}: RecordedStep): Iterable<number> {
-	return isClosed ? Array.from({length: step.total}, (_, place) => place) : SampleSet.parse(acknowledged, step.total) ?? [];
+	return isClosed ? Array.from({length: step.total}, (_, position) => position) : SampleSet.parse(acknowledged, step.total) ?? [];
 }
 
-/** Refuses for now; nothing was run. */
+/** Refuses a request temporarily; nothing was run. */
 export function refuse(kind: ProblemKind, detail: string): Placement {
 	return {kind: 'refused', problem: createProblem(kind, detail, 'no', retryAfterMs)};
 }
 
-export function refuseOther(id: string): Placement {
+export function refuseConflict(id: string): Placement {
 	return {kind: 'refused', problem: createProblem('conflict', `field id: step "${id}" was opened with other content`, 'no')};
 }
 
@@ -40,5 +40,5 @@
 }
 
 export function refuseUnreadable(id: string): Placement {
-	return refuse('unavailable', `the record of step "${id}" can not be read now; post the step again to go on without it`);
+	return refuse('unavailable', `the record of step "${id}" cannot be read now; post the step again to continue without the record`);
 }
--- a/packages/systems/src/steps-recorder.ts
+++ b/packages/systems/src/steps-recorder.ts
@@ -1,33 +1,33 @@
 /**
- * Keeps the record of one step while this process owns it.
+ * Writes the record of one step while this process owns the step.
  *
- * Recording is beside the path of delivery: samples are handed over whether they are recorded or not, and what
- * could not be recorded yet waits here. Ownership is a lease; each commit checks it and carries its fence.
+ * Recording is not on the delivery path: samples are delivered whether they are recorded or not, and samples that
+ * could not be recorded yet are queued here. Ownership is a lease; each commit checks it and carries its fence.
  */
 import {
 	RecordError, type LeaseHolder, type SampleLog,
 } from '@wasabiusher/record';
 import {describeError, type Log, type Sample} from '@wasabiusher/shared';
 import {SampleSet} from './steps-cursor.js';
-import {parsePlace} from './steps-request.js';
+import {findPosition} from './steps-request.js';
 import type {Step} from './steps-step.js';
 
-/** Most samples of one commit; at a few kilobytes each, an object of about a megabyte. */
-const maxBatch = 256;
+/** Maximum number of samples in one commit; at a few kilobytes each, an object of about one megabyte. */
+const maxCommitSamples = 256;
 
-/** Acknowledgements alone are written this often, in milliseconds; the trainer's cursor is ahead of them anyway. */
-const acknowledgementMs = 5000;
+/** Minimum interval between commits that contain acknowledgements only, in milliseconds; the trainer's cursor is always more recent than the record. */
+const acknowledgementIntervalMs = 5000;
 
 export type RecorderSettings = {
 	step: Step;
 	samples: SampleLog;
 	lease: LeaseHolder;
 	log: Log;
-	/** The step is run by another process, or is another step: it must not be run here. */
+	/** Called when another process runs the step, or the record holds a different step under its id: the step must not be run here. */
 	onLost(): void;
 };
 
-/** Records one step. */
+/** The recorder of one step. */
 export class StepRecorder {
 	readonly #settings: RecorderSettings;
 	#pending: Sample[] = [];
@@ -42,7 +42,7 @@
 		this.#settings = settings;
 	}
 
-	/** Tries for the step's lease; a step that the trainer has whole needs no owner. */
+	/** Starts to acquire the step's lease; a step that the trainer has received whole needs no owner. */
 	start(): void {
 		this.#isClosed = this.#settings.step.isWhole;
 		if (!this.#isClosed) {
@@ -50,13 +50,13 @@
 		}
 	}
 
-	/** A sample was finished here. */
-	note(sample: Sample): void {
+	/** Queues a sample that was finished in this process. */
+	record(sample: Sample): void {
 		this.#pending.push(sample);
 		void this.advance();
 	}
 
-	/** Writes what is to be written; one commit at a time. Never rejects. */
+	/** Writes the queued samples and acknowledgements, one commit at a time. Never rejects. */
 	async advance(): Promise<void> {
 		this.#running ??= this.#run().finally(() => {
 			this.#running = undefined;
@@ -64,7 +64,7 @@
 		return this.#running;
 	}
 
-	/** Writes what is left, if the store allows, and lets another process own the step. */
+	/** Writes what is queued, if the store is available, and releases the lease so that another process can own the step. */
 	async release(): Promise<void> {
 		await this.advance();
 		await this.#settings.lease.release();
@@ -85,8 +85,8 @@
 		if (!lease.holds()) {
 			step.isRecorded = false;
 			this.#isOpen = false;
-			// While a trainer pulls here the step goes on here: it may be that only this entry can be reached by it.
-			if (lease.hasLiveRival && step.unpulledMs > 0) {
+			// While a trainer pulls from this entry, the step continues here: this may be the only entry that the trainer can reach.
+			if (lease.hasLiveRival && step.msSinceLastPull > 0) {
 				onLost();
 			}
 
@@ -97,7 +97,7 @@
 			await this.#open();
 			await this.#write();
 		} catch (error) {
-			// What is not known to be written is read again before the next commit.
+			// The outcome of the write may be unknown, so the record is read again before the next commit.
 			this.#isOpen = false;
 			log.warn('step_not_recorded', {step: step.request.id, reason: describeError(error)});
 			if (error instanceof RecordError && error.code === 'conflict') {
@@ -122,7 +122,7 @@
 		step.isRecorded = true;
 	}
 
-	/** Takes over what an earlier owner has written; under the same fence nobody else has. */
+	/** Restores what an earlier owner has written; needed only under a new fence, since no other process writes under this one. */
 	async #restore(): Promise<void> {
 		const {samples, step} = this.#settings;
 		const recorded = await samples.read();
@@ -132,11 +132,11 @@
 	async #write(): Promise<void> {
 		const {samples, step, lease} = this.#settings;
 		while (lease.holds() && this.#hasWork()) {
-			// The trainer has what it acknowledged; only what could still be asked for is worth a write.
-			this.#pending = this.#pending.filter(({id}) => !step.acknowledged.has(parsePlace(step.request, id)!));
-			const batch = this.#pending.slice(0, maxBatch);
+			// The trainer has the samples that it acknowledged; only samples that it may still request are written.
+			this.#pending = this.#pending.filter(({id}) => !step.acknowledged.has(findPosition(step.request, id)!));
+			const batch = this.#pending.slice(0, maxCommitSamples);
 			const acknowledged = step.acknowledged.format();
-			// One commit at a time, so that the next one takes all that came meanwhile.
+			// One commit at a time, so that the next one includes everything that was queued in the meantime.
 			// eslint-disable-next-line no-await-in-loop
 			await (step.isWhole ? samples.close(acknowledged) : samples.append(batch, acknowledged));
 			this.#pending = this.#pending.filter(sample => !batch.includes(sample));
@@ -155,7 +155,7 @@
 			return false;
 		}
 
-		const hasNews = step.acknowledged.format() !== this.#recordedAcknowledgements;
-		return this.#pending.length > 0 || step.isWhole || (hasNews && performance.now() - this.#acknowledgedAt >= acknowledgementMs);
+		const hasNewAcknowledgements = step.acknowledged.format() !== this.#recordedAcknowledgements;
+		return this.#pending.length > 0 || step.isWhole || (hasNewAcknowledgements && performance.now() - this.#acknowledgedAt >= acknowledgementIntervalMs);
 	}
 }
--- a/packages/systems/src/steps-scoring.ts
+++ b/packages/systems/src/steps-scoring.ts
@@ -1,10 +1,10 @@
 /**
- * Scores of samples, asked for as each sample finishes and before it is handed over.
+ * Requests the score of each sample when it finishes, before it is delivered.
  *
- * A score belongs to the text that it was made for: the scorer is given the sample's id with a hash of the text as
- * its idempotency key. When its answer is lost it is asked once more under the same key, which settles the
- * score and does not make a second one. The wait is bounded by the profile; then the sample goes
- * unscored and says so.
+ * A score belongs to the text that it was computed for: the idempotency key is the sample's id with a hash of the text.
+ * When the scorer's answer is lost, the request is repeated once under the same key, which returns the
+ * score and does not compute a second one. The profile limits the wait; after it the sample is delivered
+ * without a score, with the reason.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -15,20 +15,20 @@
 import type {Call, Dispatcher} from './dispatcher.js';
 import {pause} from './pause.js';
 
-/** Greatest answer of a scorer, in bytes. */
+/** Maximum size of a scorer's answer, in bytes. */
 const maxAnswerBytes = 16_384;
 
-/** Times that the scorer may have got the request: the second settles a lost answer. */
+/** Maximum number of requests that the scorer may have received; the second one recovers a lost answer. */
 const maxRuns = 2;
 
-/** Wait before a scorer that refused, and so has not scored, is asked again, in milliseconds. */
-const refusedMs = 200;
+/** Delay before the request is repeated to a scorer that refused it and so has not scored, in milliseconds. */
+const refusalRetryMs = 200;
 
 const answerSchema = z.looseObject({score: z.number()});
 
 type Outcome = {score: number} | {problem: Problem} | {malformed: string};
 
-/** Asks scorers of any number of steps. */
+/** Requests scores for any number of steps. */
 export class Scorer {
 	readonly #dispatcher: Pick<Dispatcher, 'submit'>;
 
@@ -36,22 +36,22 @@
 		this.#dispatcher = dispatcher;
 	}
 
-	/** Asks for a score; resolves within the profile's wait, to the reason if there is none. Never rejects. */
+	/** Requests a score; resolves within the profile's wait, to the score or to the reason why it is missing, or to undefined if the profile requires none. Never rejects. */
 	async score(sample: Sample, {scoring, priority, class: priorityClass, share}: Profile): Promise<Score | undefined> {
 		if (!scoring) {
 			return undefined;
 		}
 
 		const deadlineAt = performance.now() + scoring.waitMs;
-		// The dispatcher must not repeat it by itself; what is lost is settled here, under the same key.
+		// The dispatcher must not retry by itself; a lost answer is recovered here, under the same key.
 		const profile = profileSchema.parse({
 			class: priorityClass, priority, share, idempotent: false, deadlineMs: Math.max(1, scoring.waitMs),
 		});
 		let missing = 'the scorer did not answer in time';
 		for (let tries = 0, runs = 0; runs < maxRuns && performance.now() < deadlineAt; tries += 1) {
-			// Each try depends on how the last one ended.
+			// Each request depends on the outcome of the previous one.
 			// eslint-disable-next-line no-await-in-loop
-			const outcome = await this.#ask(createScoreCall(sample, {
+			const outcome = await this.#request(createScoreCall(sample, {
 				service: scoring.service, profile, deadlineAt, tries,
 			}));
 			if ('score' in outcome) {
@@ -65,7 +65,7 @@
 			missing = outcome.problem.detail;
 			if (outcome.problem.ran === 'no') {
 				// eslint-disable-next-line no-await-in-loop
-				await pause(Math.min(refusedMs, deadlineAt - performance.now()));
+				await pause(Math.min(refusalRetryMs, deadlineAt - performance.now()));
 			} else {
 				runs += 1;
 			}
@@ -74,7 +74,7 @@
 		return {missing};
 	}
 
-	async #ask(call: Call): Promise<Outcome> {
+	async #request(call: Call): Promise<Outcome> {
 		return new Promise(resolve => {
 			const collector = new AnswerCollector(maxAnswerBytes);
 			this.#dispatcher.submit(call, {
--- a/packages/systems/src/steps-slots.ts
+++ b/packages/systems/src/steps-slots.ts
@@ -1,72 +1,72 @@
 /**
- * The places of a step and what is being made for each.
+ * The slots of a step: the state of each sample and its attempts.
  */
 import type {Problem, Sample} from '@wasabiusher/shared';
-import type {Drawing} from './steps-drawing.js';
+import type {SampleAttempt} from './steps-attempt.js';
 
 /**
- * - `idle`: no attempt is under way
- * - `drawing`: one attempt or more are
+ * - `idle`: no attempt is running
+ * - `drawing`: at least one attempt is running
  * - `scoring`: the first attempt to finish waits for its score
- * - `ready`: can be handed over once its group is whole
- * - `failed`: can not be made, and the trainer is told so
+ * - `ready`: can be delivered once its group is whole
+ * - `failed`: cannot be made, which is reported to the trainer
  * - `done`: the trainer has acknowledged it, and it is no longer held
  */
 export type SlotState = 'idle' | 'drawing' | 'scoring' | 'ready' | 'failed' | 'done';
 
-/** One sample's place. */
+/** The slot of one sample. */
 export type Slot = {
-	place: number;
+	position: number;
 	group: number;
 	state: SlotState;
-	/** Attempts so far. */
-	draws: number;
-	drawings: Map<number, Drawing>;
-	/** When the oldest attempt under way was dispatched, on the monotonic clock. */
+	/** Number of attempts started so far. */
+	startedAttempts: number;
+	attempts: Map<number, SampleAttempt>;
+	/** When the oldest running attempt was dispatched, on the monotonic clock. */
 	startedAt: number;
-	/** Not drawn before this, on the monotonic clock. */
+	/** Earliest time of the next attempt, on the monotonic clock. */
 	notBefore: number;
-	/** While `scoring`, `ready`. */
+	/** Present in the states `scoring` and `ready`. */
 	sample?: Sample;
-	/** While `failed`. */
+	/** Present in the state `failed`. */
 	problem?: Problem;
-	/** Has been written to a trainer's stream, which may have been lost. */
+	/** The sample has been written to a trainer's stream, which may have been lost. */
 	isHandedOver: boolean;
 };
 
-/** What decisions about a step's order are made from. */
-export type SlotFacts = Readonly<Pick<Slot, 'place' | 'group' | 'state' | 'draws' | 'startedAt'>> & {
-	attempts: number;
-	/** Tokens that the furthest attempt has made. */
+/** State of a slot, as the decisions about a step use it. */
+export type SlotFacts = Readonly<Pick<Slot, 'position' | 'group' | 'state' | 'startedAttempts' | 'startedAt'>> & {
+	runningAttempts: number;
+	/** Number of tokens of the most advanced attempt. */
 	tokens: number;
-	/** Where the first attempt runs; empty if it waits. */
+	/** Endpoint where the first attempt runs; empty if it waits. */
 	endpoint: string;
 };
 
 export function createSlots(total: number, groupSize: number): Slot[] {
-	return Array.from({length: total}, (_, place) => ({
-		place, group: Math.floor(place / groupSize), state: 'idle', draws: 0, drawings: new Map(), startedAt: 0, notBefore: 0, isHandedOver: false,
+	return Array.from({length: total}, (_, position) => ({
+		position, group: Math.floor(position / groupSize), state: 'idle', startedAttempts: 0, attempts: new Map(), startedAt: 0, notBefore: 0, isHandedOver: false,
 	}));
 }
 
-export function describeSlot({place, group, state, draws, startedAt, drawings}: Slot): SlotFacts {
+export function describeSlot({position, group, state, startedAttempts, startedAt, attempts}: Slot): SlotFacts {
 	return {
-		place,
+		position,
 		group,
 		state,
-		draws,
+		startedAttempts,
 		startedAt,
-		attempts: drawings.size,
-		tokens: Math.max(0, ...[...drawings.values()].map(({draft}) => draft.tokens)),
-		endpoint: [...drawings.values()].flatMap(({endpoints}) => endpoints)[0] ?? '',
+		runningAttempts: attempts.size,
+		tokens: Math.max(0, ...[...attempts.values()].map(({draft}) => draft.tokens)),
+		endpoint: [...attempts.values()].flatMap(({endpoints}) => endpoints)[0] ?? '',
 	};
 }
 
-/** Stops all attempts at a place. */
-export function cancelDrawings(slot: Slot): void {
-	for (const drawing of slot.drawings.values()) {
-		drawing.cancel();
+/** Cancels all attempts of a slot. */
+export function cancelAttempts(slot: Slot): void {
+	for (const attempt of slot.attempts.values()) {
+		attempt.cancel();
 	}
 
-	slot.drawings.clear();
+	slot.attempts.clear();
 }
--- a/packages/systems/src/steps-step.ts
+++ b/packages/systems/src/steps-step.ts
@@ -1,54 +1,54 @@
 /**
- * One step at the entry that runs it: what is still to be drawn, what waits for its group, and what the trainer has.
+ * One step at the entry that runs it: samples still to be drawn, samples that wait for their group, and samples that the trainer has.
  *
- * A sample is held until the trainer acknowledges it, so that it can be handed over again on another connection.
+ * A sample is held until the trainer acknowledges it, so that it can be delivered again on another connection.
  */
 import {createProblem, type Problem, type Sample} from '@wasabiusher/shared';
 import {SampleSet} from './steps-cursor.js';
 import {isFresh, type FreshnessTerms} from './steps-freshness.js';
 import {SampleMaker, type StepContext} from './steps-maker.js';
 import {
-	countSamples, hashStepRequest, toPlace, type StepRequest,
+	countSamples, hashStepRequest, toPosition, type StepRequest,
 } from './steps-request.js';
 import {createSlots, describeSlot, type Slot} from './steps-slots.js';
 
-/** Attempts under way at once: half a step of the size designed for, spread over the entry's 64 endpoints. */
+/** Maximum number of concurrent attempts: half a step of the design size, spread over the entry's 64 endpoints. */
 const maxOutstanding = 1024;
 
-/** Text held for a trainer that does not acknowledge, in characters; no new group is begun beyond it. */
+/** Maximum length of text held for a trainer that does not acknowledge, in characters; above it no new group is started. */
 const maxHeldLength = 16_777_216;
 
-/** Text held by all steps of a process, in characters; beyond it only steps that hold little begin a group. */
-const maxHeldByAll = 50_331_648;
+/** Maximum length of text held by all steps of a process, in characters; above it only steps below their guaranteed length start a group. */
+const maxProcessHeldLength = 50_331_648;
 
-/** What a step may hold whatever others hold, in characters: a trainer that does not acknowledge must not stop the others. */
-const minHeldLength = 1_048_576;
+/** Length of text that a step may always hold, in characters, so that a trainer that does not acknowledge cannot block the others. */
+const guaranteedHeldLength = 1_048_576;
 
-/** How a step stands. */
+/** Progress of a step; the counts are of samples. */
 export type StepStatus = {
 	id: string;
 	total: number;
-	/** Finished and not acknowledged. */
+	/** Finished but not acknowledged. */
 	ready: number;
 	acknowledged: number;
-	/** Can not be made. */
+	/** Cannot be made. */
 	failed: number;
 	isWhole: boolean;
-	/** Whether the record has the step and this process may extend it. */
+	/** Whether the record contains the step and this process may append to it. */
 	isRecorded: boolean;
 };
 
-/** A sample that can not be made. */
-export type FailedPlace = {place: number; problem: Problem};
+/** A sample that cannot be made. */
+export type FailedSample = {position: number; problem: Problem};
 
 export type StepListener = {
-	/** Called with each sample that was finished here. */
+	/** Called with each sample that was finished in this process. */
 	onReady(sample: Sample): void;
-	/** Steps that the trainer takes before this one. */
+	/** Returns the number of steps that the trainer consumes before this one. */
 	countStepsAhead(): number;
 };
 
-/** One step. */
+/** One step that this process runs. */
 export class Step {
 	readonly request: StepRequest;
 	readonly fingerprint: string;
@@ -59,16 +59,16 @@
 	readonly #context: StepContext;
 	readonly #maker: SampleMaker;
 	readonly #slots: Slot[];
-	readonly #waiting = new Set<() => void>();
+	readonly #waiters = new Set<() => void>();
 	readonly #countStepsAhead: () => number;
-	/** Idle places in the order in which they are started; undefined when it has to be worked out anew. */
+	/** Positions of idle samples in the order in which they are started; undefined when the order has to be recomputed. */
 	#queue: number[] | undefined;
 	#trainerVersion = 0;
-	#wasPulled = false;
+	#hasBeenPulled = false;
 	#isDelivered = false;
 	#pull: AbortController | undefined;
 	#lastPullAt = performance.now();
-	#changes = 0;
+	#changeCount = 0;
 	#isDropped = false;
 	#isDraining = false;
 
@@ -87,39 +87,39 @@
 				this.#queue = undefined;
 			},
 			onChange: () => {
-				this.#wake();
+				this.#notifyWaiters();
 				this.advance();
 			},
 		});
 	}
 
-	/** No longer run here; streams end without their terminal event. */
+	/** Whether the step is no longer run here; its streams end without their terminal event. */
 	get isDropped(): boolean {
 		return this.#isDropped;
 	}
 
-	/** Every sample was acknowledged, or can not be made. */
+	/** Whether every sample was acknowledged or cannot be made. */
 	get isWhole(): boolean {
 		return this.#slots.every(({state}) => state === 'done' || state === 'failed');
 	}
 
-	/** The trainer was handed all of it, or has acknowledged it. */
+	/** Whether the whole step was delivered to the trainer or acknowledged by it. */
 	get isDelivered(): boolean {
 		return this.#isDelivered || this.isWhole;
 	}
 
-	/** By what samples are judged at this moment. */
+	/** What the staleness of samples is currently checked against. */
 	get terms(): FreshnessTerms {
 		return {freshness: this.request.profile.freshness, clock: this.#context.clock, trainerVersion: this.#trainerVersion};
 	}
 
-	/** Attempts under way. */
+	/** Number of running attempts. */
 	get outstanding(): number {
 		return this.#maker.outstanding;
 	}
 
-	/** Milliseconds since a trainer last had a pull open. */
-	get unpulledMs(): number {
+	/** Time since a trainer last had a pull open, in milliseconds; 0 while one is open. */
+	get msSinceLastPull(): number {
 		return this.#pull && !this.#pull.signal.aborted ? 0 : performance.now() - this.#lastPullAt;
 	}
 
@@ -130,10 +130,10 @@
 		};
 	}
 
-	/** Takes what the record has; what is held here already stays, and what is too stale is not taken. */
+	/** Adds recorded samples and acknowledgements; samples held here already are kept, and samples that are too stale are ignored. */
 	restore(samples: readonly Sample[], acknowledged: Iterable<number>): void {
 		for (const sample of samples) {
-			const slot = this.#slots[toPlace(this.request, sample.group, sample.index)];
+			const slot = this.#slots[toPosition(this.request, sample.group, sample.index)];
 			const isWanted = slot?.state === 'idle' || slot?.state === 'drawing';
 			if (isWanted && isFresh(sample, this.terms)) {
 				this.#maker.hold(slot, sample);
@@ -143,45 +143,45 @@
 		this.acknowledge([...acknowledged]);
 	}
 
-	/** Draws what is missing and can be drawn now. */
+	/** Starts attempts at the missing samples that may be drawn now. */
 	advance(): void {
-		if (this.#isDropped || this.#isDraining || !this.#slots.some(({state}) => state === 'idle') || !this.#mayStart()) {
+		if (this.#isDropped || this.#isDraining || !this.#slots.some(({state}) => state === 'idle') || !this.#shouldStart()) {
 			return;
 		}
 
 		const now = performance.now();
 		while (this.#maker.outstanding < maxOutstanding) {
-			const place = this.#takeNext(now);
-			if (place === undefined) {
+			const position = this.#takeNext(now);
+			if (position === undefined) {
 				return;
 			}
 
-			this.#maker.draw(this.#slots[place]!);
+			this.#maker.startAttempt(this.#slots[position]!);
 		}
 	}
 
-	/** Looks after the step once a second: the order of what is left, and second attempts. */
+	/** Called once a second: reorders the remaining samples and starts second attempts. */
 	tick(): void {
 		this.#queue = undefined;
 		this.advance();
 		const {decisions, endpoints} = this.#context;
 		const facts = this.#slots.map(slot => describeSlot(slot));
-		for (const place of this.#isDropped || this.#isDraining ? [] : decisions.double(this.request, facts, endpoints.listIdle(this.request.model))) {
-			this.#maker.draw(this.#slots[place]!);
+		for (const position of this.#isDropped || this.#isDraining ? [] : decisions.planSecondAttempts(this.request, facts, endpoints.listIdle(this.request.model))) {
+			this.#maker.startAttempt(this.#slots[position]!);
 		}
 	}
 
-	/** A trainer's pull begins: it replaces an earlier one, and what is too stale for its version is drawn again. */
+	/** Starts a trainer's pull, which replaces an earlier one; samples that are too stale for its version are redrawn. */
 	beginPull(trainerVersion: number): AbortController {
 		this.#pull?.abort();
 		const pull = new AbortController();
 		this.#pull = pull;
 		this.#trainerVersion = trainerVersion;
-		this.#wasPulled = true;
-		this.#context.decisions.noteVersion(this.request, trainerVersion);
-		this.#context.clock.note(this.request.model, trainerVersion);
+		this.#hasBeenPulled = true;
+		this.#context.decisions.recordTrainerVersion(this.request, trainerVersion);
+		this.#context.clock.record(this.request.model, trainerVersion);
 		for (const slot of this.#slots) {
-			this.#maker.giveUpIfStale(slot);
+			this.#maker.discardIfStale(slot);
 		}
 
 		this.advance();
@@ -193,15 +193,15 @@
 		this.#lastPullAt = performance.now();
 	}
 
-	/** Samples of whole groups that the trainer does not have, fresh at this moment; stale ones are drawn again. */
+	/** Returns currently fresh samples of whole groups that the trainer does not have; stale ones are redrawn. */
 	listDeliverable(received: SampleSet): Sample[] {
 		const deliverable: Sample[] = [];
 		for (let first = 0; first < this.total; first += this.request.groupSize) {
 			const missing = this.#slots
 				.slice(first, first + this.request.groupSize)
-				.filter(({place, state}) => !received.has(place) && state !== 'done' && state !== 'failed');
+				.filter(({position, state}) => !received.has(position) && state !== 'done' && state !== 'failed');
 			for (const slot of missing) {
-				this.#maker.giveUpIfStale(slot);
+				this.#maker.discardIfStale(slot);
 			}
 
 			if (missing.every(({state}) => state === 'ready')) {
@@ -213,65 +213,65 @@
 		return deliverable;
 	}
 
-	/** Samples that can not be made and that the trainer has not been told of. */
-	listFailed(received: SampleSet): FailedPlace[] {
+	/** Returns samples that cannot be made, unless that was reported to the trainer already. */
+	listFailed(received: SampleSet): FailedSample[] {
 		return this.#slots
-			.filter(({place, state}) => state === 'failed' && !received.has(place))
-			.map(({place, problem}) => ({place, problem: problem ?? createProblem('internal', 'the sample can not be made', 'unknown')}));
+			.filter(({position, state}) => state === 'failed' && !received.has(position))
+			.map(({position, problem}) => ({position, problem: problem ?? createProblem('internal', 'the sample cannot be made', 'unknown')}));
 	}
 
-	noteHandedOver(place: number): void {
-		this.#slots[place]!.isHandedOver = true;
+	markHandedOver(position: number): void {
+		this.#slots[position]!.isHandedOver = true;
 	}
 
-	/** Whether a trainer with these samples has the whole step. */
+	/** Returns whether a trainer with these samples has the whole step. */
 	isWholeWith(received: SampleSet): boolean {
-		this.#isDelivered = this.#slots.every(({place, state}) => received.has(place) || state === 'done');
+		this.#isDelivered = this.#slots.every(({position, state}) => received.has(position) || state === 'done');
 		return this.#isDelivered;
 	}
 
-	/** The trainer has these samples for good: they are held no longer, nor drawn if another entry handed them over. */
-	acknowledge(places: readonly number[]): void {
-		for (const place of places) {
-			const slot = this.#slots[place]!;
-			this.acknowledged.add(place);
+	/** Releases samples that the trainer has acknowledged; they are not drawn either if another entry delivered them. */
+	acknowledge(positions: readonly number[]): void {
+		for (const position of positions) {
+			const slot = this.#slots[position]!;
+			this.acknowledged.add(position);
 			this.#maker.release(slot);
 			slot.state = 'done';
 		}
 
-		this.#wake();
+		this.#notifyWaiters();
 		this.advance();
 	}
 
-	/** Counts what may have made more deliverable. */
-	get changes(): number {
-		return this.#changes;
+	/** Number of changes after which more samples may be deliverable. */
+	get changeCount(): number {
+		return this.#changeCount;
 	}
 
-	/** Resolves when something has changed since the given count, or the signal is aborted. */
+	/** Resolves when the change count differs from the given one, when the step is dropped, or when the signal is aborted. */
 	async waitForChange(since: number, signal: AbortSignal): Promise<void> {
-		if (signal.aborted || this.#isDropped || this.#changes !== since) {
+		if (signal.aborted || this.#isDropped || this.#changeCount !== since) {
 			return;
 		}
 
 		await new Promise<void>(resolve => {
-			const wake = () => {
-				this.#waiting.delete(wake);
-				signal.removeEventListener('abort', wake);
+			const onChange = () => {
+				this.#waiters.delete(onChange);
+				signal.removeEventListener('abort', onChange);
 				resolve();
 			};
 
-			this.#waiting.add(wake);
-			signal.addEventListener('abort', wake);
+			this.#waiters.add(onChange);
+			signal.addEventListener('abort', onChange);
 		});
 	}
 
-	/** Begins no further attempts; those under way go on. */
+	/** Starts no further attempts; running ones continue. */
 	drain(): void {
 		this.#isDraining = true;
 	}
 
-	/** Stops all work here. */
+	/** Cancels all attempts and ends the pull. */
 	drop(): void {
 		this.#isDropped = true;
 		for (const slot of this.#slots) {
@@ -279,43 +279,43 @@
 		}
 
 		this.#pull?.abort();
-		this.#wake();
+		this.#notifyWaiters();
 	}
 
-	/** Whether what engines make now could be handed over; otherwise drawing would only waste it. */
-	#mayStart(): boolean {
+	/** Returns whether samples that engines generate now could be delivered; otherwise they would be wasted. */
+	#shouldStart(): boolean {
 		const {decisions, endpoints} = this.#context;
 		const versions = endpoints.listVersions(this.request.model);
 		const engineVersion = versions.length === 0 ? undefined : Math.max(...versions);
-		return decisions.mayStart(this.request, {engineVersion, stepsAhead: this.#wasPulled ? 0 : this.#countStepsAhead()});
+		return decisions.shouldStart(this.request, {engineVersion, stepsAhead: this.#hasBeenPulled ? 0 : this.#countStepsAhead()});
 	}
 
-	/** The next idle place in the order; undefined if none may be started now. */
+	/** Removes and returns the position of the next idle sample in the order; undefined if none may be started now. */
 	#takeNext(now: number): number | undefined {
-		const isDue = (place: number) => this.#slots[place]!.state === 'idle' && this.#slots[place]!.notBefore <= now && this.#hasRoom(place);
+		const isDue = (position: number) => this.#slots[position]!.state === 'idle' && this.#slots[position]!.notBefore <= now && this.#hasHeadroom(position);
 		this.#queue ??= this.#orderIdle();
-		const next = this.#queue.findIndex(place => isDue(place));
+		const next = this.#queue.findIndex(position => isDue(position));
 		return next === -1 ? undefined : this.#queue.splice(next, 1)[0];
 	}
 
 	#orderIdle(): number[] {
 		const idle = this.#slots.filter(({state}) => state === 'idle').map(slot => describeSlot(slot));
-		return this.#context.decisions.order(this.request, idle).map(({place}) => place);
+		return this.#context.decisions.orderIdle(this.request, idle).map(({position}) => position);
 	}
 
-	/** A group that was begun is finished whatever is held, since only a whole one can be handed over. */
-	#hasRoom(place: number): boolean {
+	/** Returns whether the sample may be started; a started group is always finished, since only whole groups can be delivered. */
+	#hasHeadroom(position: number): boolean {
 		const {groupSize} = this.request;
-		const first = place - (place % groupSize);
+		const first = position - (position % groupSize);
 		const {heldLength} = this.#maker;
-		const mayBegin = heldLength < minHeldLength || (heldLength < maxHeldLength && this.#context.held.length < maxHeldByAll);
-		return mayBegin || this.#slots.slice(first, first + groupSize).some(({state}) => state !== 'idle');
+		const isBelowLimit = heldLength < guaranteedHeldLength || (heldLength < maxHeldLength && this.#context.held.length < maxProcessHeldLength);
+		return isBelowLimit || this.#slots.slice(first, first + groupSize).some(({state}) => state !== 'idle');
 	}
 
-	#wake(): void {
-		this.#changes += 1;
-		for (const wake of this.#waiting) {
-			wake();
+	#notifyWaiters(): void {
+		this.#changeCount += 1;
+		for (const onChange of this.#waiters) {
+			onChange();
 		}
 	}
 }
--- a/packages/systems/src/steps.ts
+++ b/packages/systems/src/steps.ts
@@ -1,10 +1,10 @@
 /**
- * Trainers' steps: any entry can open one, go on with one, or say who runs it.
+ * Runs trainers' steps: any entry can open a step, continue one, or return the address of the entry that runs it.
  *
- * The entry that opens a step runs it and holds its lease. Another entry that is asked for the step says where
- * it is run, so that the exchange can be passed on; when that entry does not answer, it goes on from the record
- * at once, and owns the step when the lease has lapsed. Without the store a step is run by whichever entry the
- * trainer gives it to; the trainer's cursor keeps each sample from being handed over twice.
+ * The entry that opens a step runs it and holds its lease. Another entry that receives a request for the step returns
+ * the owner's address, so that the request can be forwarded. When the owner does not answer, the other entry continues from the
+ * record at once, and owns the step when the lease has expired. Without the store, a step is run by whichever entry the
+ * trainer sends it to; the trainer's cursor prevents a sample from being delivered twice.
  */
 import type {ObjectStore, TableService} from '@wasabiusher/backends';
 import type {Registry} from 'prom-client';
@@ -26,26 +26,26 @@
 import type {StepContext} from './steps-maker.js';
 import {StepMetrics} from './steps-metrics.js';
 import {
-	listAcknowledged, refuse, refuseOther, refuseUnknown, refuseUnreadable, type FindOptions, type Placement,
+	listAcknowledged, refuse, refuseConflict, refuseUnknown, refuseUnreadable, type FindOptions, type Placement,
 } from './steps-placement.js';
 import {StepRecorder} from './steps-recorder.js';
 import {
-	hashStepRequest, parsePlace, stepRequestSchema, type StepRequest,
+	hashStepRequest, findPosition, stepRequestSchema, type StepRequest,
 } from './steps-request.js';
 import {Scorer} from './steps-scoring.js';
 import {Step} from './steps-step.js';
 
-/** Longest wait for the store before a step is run without it, in milliseconds. */
-const storeWaitMs = 1000;
+/** Maximum wait for the store before a step is run without it, in milliseconds. */
+const storeTimeoutMs = 1000;
 
-/** How often steps are looked after, in milliseconds. */
+/** Interval of the steps' periodic work, in milliseconds. */
 const tickMs = 1000;
 
-/** Steps open at an entry; ten trainers with some steps each, many times over. */
+/** Maximum number of open steps at an entry; many times the need of ten trainers with a few steps each. */
 const maxSteps = 256;
 
-/** A step that nobody pulls from is stopped after this, in milliseconds; the record keeps it. */
-const abandonMs = 600_000;
+/** Time without a pull after which a step is stopped, in milliseconds; its record is kept. */
+const abandonAfterMs = 600_000;
 
 export type StepRunnerSettings = {
 	dispatcher: Pick<Dispatcher, 'submit'>;
@@ -57,23 +57,23 @@
 	random: Random;
 	log: Log;
 	registry?: Registry;
-	/** Where events of the burn report are counted. */
+	/** Where the events for the burn report are counted. */
 	objectives?: Pick<ObjectiveMetrics, 'record'>;
 	endpoints: StepEndpoints;
-	/** `ip:port` where other entries reach this one's trainers' routes. */
+	/** Returns the `ip:port` where other entries reach the trainer routes of this entry. */
 	address(): string;
 };
 
 type Run = {step: Step; recorder: StepRecorder};
 
-/** What the record says of a step: where its owner is, if another process, and the step, if it is there. */
-type Finding = {owner?: string; recorded?: RecordedStep};
+/** What the store holds for a step: the address of its owner, if that is another process, and its record, if there is one. */
+type StepLookup = {owner?: string; recorded?: RecordedStep};
 
 /** Runs the steps of one entry. */
 export class StepRunner {
 	readonly #settings: StepRunnerSettings;
 	readonly #context: StepContext;
-	readonly #pace = new TakeOverPace();
+	readonly #takeOverPace = new TakeOverPace();
 	readonly #runs = new Map<string, Run>();
 	readonly #opening = new Map<string, Promise<Placement>>();
 	readonly #timer: NodeJS.Timeout;
@@ -101,22 +101,22 @@
 		this.#timer.unref();
 	}
 
-	/** Steps run here. */
+	/** Number of steps that this entry runs. */
 	get openSteps(): number {
 		return this.#runs.size;
 	}
 
-	/** Opens a step, or finds the one with the same id. */
+	/** Opens a step, or returns the one with the same id; refuses if that one has other content. */
 	async open(request: StepRequest, options: FindOptions = {}): Promise<Placement> {
-		return this.#place(request.id, options, request);
+		return this.#findOrOpen(request.id, options, request);
 	}
 
-	/** Finds a step that was opened here or elsewhere. */
+	/** Finds a step that was opened at this or another entry. */
 	async locate(id: string, options: FindOptions = {}): Promise<Placement> {
-		return this.#place(id, options);
+		return this.#findOrOpen(id, options);
 	}
 
-	/** Hands over samples of a step that is run here; a problem if the cursor is not one of it. */
+	/** Delivers samples of a step that is run here; returns a problem if the cursor does not belong to the step. */
 	pull(step: Step, {after, version, signal}: {after: string; version: number; signal: AbortSignal}): AsyncGenerator<Delivery, void> | Problem {
 		const received = SampleSet.parse(after, step.total);
 		if (!received) {
@@ -129,23 +129,23 @@
 		});
 	}
 
-	/** Notes that the trainer has samples for good; a problem if the step has no such sample. */
+	/** Records that the trainer has received samples; returns a problem if the step does not have one of them. */
 	acknowledge(step: Step, sampleIds: readonly string[]): Problem | undefined {
-		const places = sampleIds.map(id => parsePlace(step.request, id));
-		const unknown = places.indexOf(undefined);
+		const positions = sampleIds.map(id => findPosition(step.request, id));
+		const unknown = positions.indexOf(undefined);
 		if (unknown !== -1) {
 			return createProblem('bad-request', `field samples.${unknown}: step ${step.request.id} has no sample "${sampleIds[unknown]}"`, 'no');
 		}
 
-		step.acknowledge(places.filter(place => place !== undefined));
+		step.acknowledge(positions.filter(position => position !== undefined));
 		void this.#runs.get(step.request.id)?.recorder.advance();
 		return undefined;
 	}
 
 	/**
-	 * Finishes what is under way, records it, and lets other entries go on; streams end without their terminal event.
+	 * Finishes running attempts, records their samples and releases the steps to other entries; streams end without their terminal event.
 	 *
-	 * @param graceMs - longest wait for attempts that are under way, in milliseconds
+	 * @param graceMs - maximum wait for running attempts, in milliseconds
 	 */
 	async drain(graceMs: number): Promise<void> {
 		const endAt = performance.now() + graceMs;
@@ -161,10 +161,10 @@
 		}
 
 		clearInterval(this.#timer);
-		await Promise.all([...this.#runs.keys()].map(async id => this.#handBack(id)));
+		await Promise.all([...this.#runs.keys()].map(async id => this.#release(id)));
 	}
 
-	/** Stops at once, as a process does that dies. */
+	/** Stops immediately, without recording, like a crashed process. */
 	stop(): void {
 		clearInterval(this.#timer);
 		for (const id of this.#runs.keys()) {
@@ -172,38 +172,38 @@
 		}
 	}
 
-	async #place(id: string, options: FindOptions, request?: StepRequest): Promise<Placement> {
+	async #findOrOpen(id: string, options: FindOptions, request?: StepRequest): Promise<Placement> {
 		const run = this.#runs.get(id);
 		if (run) {
-			return request && hashStepRequest(request) !== run.step.fingerprint ? refuseOther(id) : {kind: 'here', step: run.step};
+			return request && hashStepRequest(request) !== run.step.fingerprint ? refuseConflict(id) : {kind: 'here', step: run.step};
 		}
 
 		if (this.#isDraining) {
-			return refuse('unavailable', 'this entry is leaving; another one goes on with the step');
+			return refuse('unavailable', 'this entry is shutting down; another entry continues the step');
 		}
 
-		// Two exchanges about a step that come at once must not begin it twice.
-		const opening = this.#opening.get(id) ?? this.#find(id, options, request).finally(() => {
+		// Two concurrent requests for a step must not start it twice.
+		const opening = this.#opening.get(id) ?? this.#findPlacement(id, options, request).finally(() => {
 			this.#opening.delete(id);
 		});
 		this.#opening.set(id, opening);
 		const placement = await opening;
-		return placement.kind === 'here' && request && hashStepRequest(request) !== placement.step.fingerprint ? refuseOther(id) : placement;
+		return placement.kind === 'here' && request && hashStepRequest(request) !== placement.step.fingerprint ? refuseConflict(id) : placement;
 	}
 
-	async #find(id: string, {isOwnerGone = false}: FindOptions, request?: StepRequest): Promise<Placement> {
-		const finding = await this.#lookUp(id);
-		if (!finding) {
+	async #findPlacement(id: string, {isOwnerGone = false}: FindOptions, request?: StepRequest): Promise<Placement> {
+		const found = await this.#lookUp(id);
+		if (!found) {
 			return request ? this.#begin(request) : refuseUnreadable(id);
 		}
 
-		if (finding.owner !== undefined && !isOwnerGone) {
-			return {kind: 'elsewhere', address: finding.owner};
+		if (found.owner !== undefined && !isOwnerGone) {
+			return {kind: 'elsewhere', address: found.owner};
 		}
 
-		const {recorded} = finding;
+		const {recorded} = found;
 		if (request && recorded && recorded.fingerprint !== hashStepRequest(request)) {
-			return refuseOther(id);
+			return refuseConflict(id);
 		}
 
 		const accepted = recorded ? stepRequestSchema.parse(recorded.request) : request;
@@ -226,28 +226,28 @@
 		return {kind: 'here', step};
 	}
 
-	/** Takes over the recorded samples; many of them may come later, and replace what is drawn meanwhile. */
+	/** Restores the recorded samples; if reading takes long, they arrive later and replace attempts started in the meantime. */
 	async #restoreSamples(step: Step): Promise<void> {
 		const {id} = step.request;
 		const reading = this.#createSampleLog(id).readSamples().then(samples => {
 			step.restore(samples, []);
 		});
 		try {
-			await Promise.race([reading, pause(storeWaitMs)]);
+			await Promise.race([reading, pause(storeTimeoutMs)]);
 		} catch (error) {
 			this.#settings.log.warn('samples_unreadable', {step: id, reason: describeError(error)});
 		}
 	}
 
-	/** Asks the record; undefined if it can not be read in time. */
-	async #lookUp(id: string): Promise<Finding | undefined> {
+	/** Reads the owner and the record of a step; undefined if they cannot be read in time. */
+	async #lookUp(id: string): Promise<StepLookup | undefined> {
 		const {tables, log, address} = this.#settings;
-		const reading = Promise.all([readLeaseOwner(tables, `step/${id}`), this.#createSampleLog(id).read()]).then(([owner, recorded]): Finding => ({
+		const reading = Promise.all([readLeaseOwner(tables, `step/${id}`), this.#createSampleLog(id).read()]).then(([owner, recorded]): StepLookup => ({
 			owner: owner?.address === address() ? undefined : owner?.address,
 			recorded,
 		}));
 		try {
-			return await Promise.race([reading, pause(storeWaitMs)]);
+			return await Promise.race([reading, pause(storeTimeoutMs)]);
 		} catch (error) {
 			log.warn('step_unreadable', {step: id, reason: describeError(error)});
 			return undefined;
@@ -264,7 +264,7 @@
 		const {id} = request;
 		const step: Step = new Step(request, this.#context, {
 			onReady: sample => {
-				this.#runs.get(id)?.recorder.note(sample);
+				this.#runs.get(id)?.recorder.record(sample);
 			},
 			countStepsAhead: () => this.#countStepsBefore(step),
 		});
@@ -279,7 +279,7 @@
 				address: address(),
 				random,
 				log,
-				pace: this.#pace,
+				pace: this.#takeOverPace,
 				onChange() {
 					void recorder.advance();
 				},
@@ -305,21 +305,21 @@
 		for (const [id, {step, recorder}] of this.#runs) {
 			step.tick();
 			void recorder.advance();
-			if (step.unpulledMs > abandonMs) {
-				void this.#handBack(id);
+			if (step.msSinceLastPull > abandonAfterMs) {
+				void this.#release(id);
 			}
 		}
 	}
 
-	/** Earlier steps of the same trainer and model that it has not been handed whole. */
+	/** Counts earlier steps of the same trainer and model that were not delivered whole. */
 	#countStepsBefore(step: Step): number {
 		const steps = [...this.#runs.values()].map(run => run.step);
 		const {trainer, model} = step.request;
 		return steps.slice(0, Math.max(0, steps.indexOf(step))).filter(({request, isDelivered}) => request.trainer === trainer && request.model === model && !isDelivered).length;
 	}
 
-	/** Writes what is left and lets another process own the step. */
-	async #handBack(id: string): Promise<void> {
+	/** Writes what is queued, releases the lease and stops the step here. */
+	async #release(id: string): Promise<void> {
 		await this.#runs.get(id)?.recorder.release();
 		this.#drop(id);
 	}
--- a/packages/systems/src/trainer-time.ts
+++ b/packages/systems/src/trainer-time.ts
@@ -1,61 +1,61 @@
 /**
- * How trainers spend their time: kept waiting by a pull with nothing to hand over, or busy.
+ * Measures how trainers spend their time: idle, in a pull with nothing to deliver, or busy.
  */
 import type {ObjectiveMetrics} from './objective-metrics.js';
 import type {StepRequest} from './steps-request.js';
 
-/** A trainer that was busy for so long without a pull has ended, in milliseconds. */
-const forgetMs = 600_000;
+/** Busy time without a pull after which a trainer is treated as ended, in milliseconds. */
+const endedAfterMs = 600_000;
 
-type Spell = {profile: string; isIdle: boolean; since: number; busySince: number};
+type Interval = {profile: string; isIdle: boolean; since: number; busySince: number};
 
 /** Counts the time of all trainers of a process for the objective `trainerBusy`, in milliseconds. */
 export class TrainerTime {
 	readonly #objectives: Pick<ObjectiveMetrics, 'record'> | undefined;
-	readonly #spells = new Map<string, Spell>();
+	readonly #intervals = new Map<string, Interval>();
 
-	/** @param objectives - where the time is counted; nowhere if there is none */
+	/** @param objectives - where the time is counted; not counted if undefined */
 	constructor(objectives?: Pick<ObjectiveMetrics, 'record'>) {
 		this.#objectives = objectives;
 	}
 
-	/** A trainer's pull begins or ends to wait; before its first wait nothing is known of the trainer. */
-	note({trainer, profileName}: StepRequest, isIdle: boolean): void {
+	/** Records that a trainer's pull starts or stops waiting; a trainer is not counted before its first wait. */
+	record({trainer, profileName}: StepRequest, isIdle: boolean): void {
 		const now = performance.now();
 		const key = `${trainer}/${profileName}`;
-		const spell = this.#spells.get(key);
-		if (spell) {
-			this.#count(spell, now);
+		const interval = this.#intervals.get(key);
+		if (interval) {
+			this.#count(interval, now);
 		}
 
-		this.#spells.set(key, {
+		this.#intervals.set(key, {
 			profile: profileName, isIdle, since: now, busySince: now,
 		});
 	}
 
-	/** A trainer went away while it waited: what it does now is not known. */
+	/** Stops counting a trainer that disconnected while it waited, since its state is then unknown. */
 	forget({trainer, profileName}: StepRequest): void {
 		const key = `${trainer}/${profileName}`;
-		const spell = this.#spells.get(key);
-		if (spell) {
-			this.#count(spell, performance.now());
-			this.#spells.delete(key);
+		const interval = this.#intervals.get(key);
+		if (interval) {
+			this.#count(interval, performance.now());
+			this.#intervals.delete(key);
 		}
 	}
 
-	/** Counts what has passed of the spells under way, so that a long wait is seen while it lasts. */
+	/** Counts the elapsed part of the current intervals, so that a long wait shows in the metrics while it lasts. */
 	tick(): void {
 		const now = performance.now();
-		for (const [key, spell] of this.#spells) {
-			this.#count(spell, now);
-			if (!spell.isIdle && now - spell.busySince > forgetMs) {
-				this.#spells.delete(key);
+		for (const [key, interval] of this.#intervals) {
+			this.#count(interval, now);
+			if (!interval.isIdle && now - interval.busySince > endedAfterMs) {
+				this.#intervals.delete(key);
 			}
 		}
 	}
 
-	#count(spell: Spell, now: number): void {
-		this.#objectives?.record(spell.profile, 'trainerBusy', !spell.isIdle, now - spell.since);
-		spell.since = now;
+	#count(interval: Interval, now: number): void {
+		this.#objectives?.record(interval.profile, 'trainerBusy', !interval.isIdle, now - interval.since);
+		interval.since = now;
 	}
 }
--- a/packages/systems/src/weight-rollout.ts
+++ b/packages/systems/src/weight-rollout.ts
@@ -10,7 +10,7 @@
 import type {WeightStore} from '@wasabiusher/backends';
 import {describeError, type Log} from '@wasabiusher/shared';
 import {
-	createProgress, failProgress, followReport, isStuck, type Progress,
+	createProgress, applyFailure, applyReport, isStuck, type Progress,
 } from './rollout-progress.js';
 
 /** An endpoint as control sees it. */
@@ -55,13 +55,13 @@
 const defaultStoreStreams = 4;
 
 /** How often the weight store is asked for new versions, in milliseconds: a twentieth of the 17 s that a rollout may take. */
-const versionsMs = 1000;
+const versionPollIntervalMs = 1000;
 
 /** Longest wait for the answer to an order, in milliseconds; the agent's own limit towards the engine is 30 s. */
-const orderMs = 35_000;
+const orderTimeoutMs = 35_000;
 
 /** Time in which interactive demand is mostly forgotten, in milliseconds, so that a pause of a second lends nothing. */
-const demandMs = 20_000;
+const interactiveDecayMs = 20_000;
 
 type Rollout = {
 	model: string;
@@ -79,9 +79,9 @@
 	readonly #rollouts = new Map<string, Rollout>();
 	readonly #orders = new Map<string, PendingOrder>();
 	#orderCount = 0;
-	#interactive = 0;
+	#interactiveEndpoints = 0;
 	#interactiveAt = Number.NEGATIVE_INFINITY;
-	#versionsAt = Number.NEGATIVE_INFINITY;
+	#versionsReadAt = Number.NEGATIVE_INFINITY;
 	#isReading = false;
 	#isStoreDown = false;
 
@@ -92,7 +92,7 @@
 	/** Reads what is new and orders what is due; does nothing without the lease. Never rejects. */
 	async tick(): Promise<void> {
 		if (!this.#settings.lease.holds()) {
-			this.#forget();
+			this.#reset();
 			return;
 		}
 
@@ -147,16 +147,16 @@
 
 	async #readVersions(): Promise<void> {
 		const now = performance.now();
-		if (this.#isReading || now - this.#versionsAt < versionsMs) {
+		if (this.#isReading || now - this.#versionsReadAt < versionPollIntervalMs) {
 			return;
 		}
 
 		const {weights, log, service} = this.#settings;
-		this.#versionsAt = now;
+		this.#versionsReadAt = now;
 		this.#isReading = true;
 		try {
 			for (const {model, version} of await weights.listVersions()) {
-				this.#see(model, version);
+				this.#addVersion(model, version);
 			}
 
 			this.#isStoreDown = false;
@@ -172,7 +172,7 @@
 	}
 
 	/** A version only ever goes up; a newer one takes the place of a rollout under way. */
-	#see(model: string, version: number): void {
+	#addVersion(model: string, version: number): void {
 		const known = this.#rollouts.get(model);
 		if (!known || version > known.version) {
 			this.#rollouts.set(model, {
@@ -189,28 +189,28 @@
 
 		this.#expireOrders();
 		const endpoints = this.#settings.listEndpoints().filter(({isUp, status}) => isUp && status.isHealthy && !status.isLeaving);
-		this.#followInteractive(endpoints);
+		this.#updateInteractive(endpoints);
 		for (const rollout of this.#rollouts.values()) {
-			this.#follow(rollout, endpoints);
-			this.#order(rollout, planWave(this.#listReplicas(rollout), {
+			this.#updateProgress(rollout, endpoints);
+			this.#sendOrders(rollout, planWave(this.#listReplicas(rollout), {
 				storeStreams: this.#settings.storeStreams ?? defaultStoreStreams,
 				// Engines say nothing of serving weights to one another.
 				peerStreams: 0,
-				interactiveEndpoints: this.#interactive,
+				interactiveEndpoints: this.#interactiveEndpoints,
 			}, performance.now()));
 		}
 	}
 
 	/** Endpoints that interactive callers keep busy: what they use now, or a little less than what they used before. */
-	#followInteractive(endpoints: readonly ControlledEndpoint[]): void {
+	#updateInteractive(endpoints: readonly ControlledEndpoint[]): void {
 		const used = endpoints.reduce((sum, {status}) => sum + ((status.interactive ?? 0) / Math.max(1, status.limit)), 0);
 		const now = performance.now();
-		this.#interactive = Math.max(used, this.#interactive * Math.exp(-(now - this.#interactiveAt) / demandMs));
+		this.#interactiveEndpoints = Math.max(used, this.#interactiveEndpoints * Math.exp(-(now - this.#interactiveAt) / interactiveDecayMs));
 		this.#interactiveAt = now;
 	}
 
 	/** Takes over what endpoints report; one that has come, or come back with an older version, begins anew. */
-	#follow(rollout: Rollout, endpoints: readonly ControlledEndpoint[]): void {
+	#updateProgress(rollout: Rollout, endpoints: readonly ControlledEndpoint[]): void {
 		const holders = new Map(endpoints.flatMap(({agent, status}) => {
 			const loaded = status.models.find(({model}) => model === rollout.model);
 			return loaded ? [[agent, loaded.version] as const] : [];
@@ -223,13 +223,13 @@
 
 		for (const [agent, version] of holders) {
 			const known = rollout.progress.get(agent) ?? createProgress(agent);
-			rollout.progress.set(agent, followReport(known, version, rollout.version));
+			rollout.progress.set(agent, applyReport(known, version, rollout.version));
 		}
 
-		this.#noteDone(rollout);
+		this.#updateDone(rollout);
 	}
 
-	#noteDone(rollout: Rollout): void {
+	#updateDone(rollout: Rollout): void {
 		const isDone = rollout.progress.size > 0 && [...rollout.progress.values()].every(({replica}) => replica.state === 'current');
 		if (!isDone) {
 			rollout.doneAt = undefined;
@@ -247,7 +247,7 @@
 		return [...rollout.progress].map(([agent, {replica}]) => swapping.has(agent) ? {...replica, state: 'swapping'} : replica);
 	}
 
-	#order(rollout: Rollout, {fetches, swaps}: WavePlan): void {
+	#sendOrders(rollout: Rollout, {fetches, swaps}: WavePlan): void {
 		for (const {id, source} of fetches) {
 			this.#send(rollout, id, 'prefetch', source);
 		}
@@ -297,7 +297,7 @@
 			agent, order: kind, model: rollout.model, version: rollout.version, detail,
 		});
 		if (known) {
-			rollout.progress.set(agent, failProgress(known, kind, detail));
+			rollout.progress.set(agent, applyFailure(known, kind, detail));
 		}
 	}
 
@@ -308,7 +308,7 @@
 		for (const [id, order] of this.#orders) {
 			if (order.rollout.progress.get(order.agent)?.replica.state === 'current') {
 				this.#orders.delete(id);
-			} else if (now - order.sentAt > orderMs || !up.has(order.agent)) {
+			} else if (now - order.sentAt > orderTimeoutMs || !up.has(order.agent)) {
 				this.#orders.delete(id);
 				this.#failOrder(order, 'no answer');
 			}
@@ -316,9 +316,9 @@
 	}
 
 	/** Another holder goes on; what is known here would be old when the lease comes back. */
-	#forget(): void {
+	#reset(): void {
 		this.#rollouts.clear();
 		this.#orders.clear();
-		this.#versionsAt = Number.NEGATIVE_INFINITY;
+		this.#versionsReadAt = Number.NEGATIVE_INFINITY;
 	}
 }
