--- a/packages/systems/src/commit-gateway.ts
+++ b/packages/systems/src/commit-gateway.ts
@@ -1,15 +1,15 @@
 /**
- * Gathers the rows of a data centre's entries at a few of them, so that the store sees few transactions.
+ * Commits the rows of a data centre's entries through a few of them, the gatherers, which reduces the number of transactions at the store.
  *
- * With some thousand entries, each of which has a claim now and then, batches of one entry stay small and the store
- * gets a transaction for nearly every row. Each entry therefore sends its rows to a gatherer, chosen by
- * rendezvous rank among the live entries and by the row's key. Correctness does not hang on who commits, since
- * each row is written on a condition: entries that disagree about the gatherers, or that go past one that does not
- * answer, do no harm. Few entries commit by themselves.
+ * With some thousand entries that each write a claim occasionally, the batches of a single entry stay small and the store
+ * receives a transaction for nearly every row. Each entry therefore sends its rows to a gatherer, chosen by
+ * rendezvous rank among the live entries and by the row's key. Correctness does not depend on which entry commits, since
+ * each write is conditional: entries that disagree about the gatherers, or that bypass one that does not
+ * answer, cause no inconsistency. In a data centre with few entries, each commits directly.
  *
- * How to wire it, in an entry: `write` is given to `ClaimLog` as `commits`; `receive` takes the kinds `commit` and
- * `committed` from other entries; `onLinkDown` is called when a link to one is lost; `gatherers` tells which entries
- * to keep a link to.
+ * Usage in an entry: pass the gateway to `ClaimLog` as `commits`; pass the messages `commit` and
+ * `committed` from other entries to `receive`; call `onLinkDown` when a link to an entry is lost; keep links to the entries
+ * in `gatherers`.
  */
 import type {Message, MessageOf} from '@wasabiusher/link';
 import type {StoredRow, TableService} from '@wasabiusher/backends';
@@ -18,29 +18,30 @@
 } from '@wasabiusher/record';
 import {hashToNumber, orderByRank} from '@wasabiusher/shared';
 
-/** Up to so many entries in a data centre each commits by itself. */
+/** Maximum number of entries in a data centre for which each commits directly. */
 const maxDirect = 8;
 
-/** Gatherers of a data centre: one may die without all waiting. */
+/** Number of gatherers per data centre; two, so that a crash of one does not block all rows. */
 const gatherersPerDataCentre = 2;
 
-/** Least time between transactions of an entry that commits by itself, in milliseconds; 12 entries then make 300 a second at most. */
+/** Minimum interval between transactions of an entry that commits directly, in milliseconds; 12 entries then make at most 300 per second. */
 const directIntervalMs = 40;
 
-/** The same of a gatherer; 19 data centres × 2 gatherers then make 190 a second at most. */
+/** Minimum interval between transactions of a gatherer, in milliseconds; 19 data centres × 2 gatherers then make at most 190 per second. */
 const gatherIntervalMs = 200;
 
-/** Longest wait for a gatherer, in milliseconds; above its interval and a slow answer of the store. */
+/** Maximum wait for a gatherer's answer, in milliseconds; longer than its interval plus a slow answer of the store. */
 const answerTimeoutMs = 2000;
 
 export type CommitGatewaySettings = {
 	/** Name of this entry. */
 	name: string;
 	tables: TableService;
+	/** Maximum number of entries in a data centre for which each commits directly; 8 by default. */
 	maxDirect?: number;
 	/** Names of the live entries of this data centre. */
 	listEntries(): readonly string[];
-	/** Sends to an entry by name; false if it has no link at present. */
+	/** Sends a message to an entry by name; returns false if there is no link to it. */
 	send(entry: string, message: Message): boolean;
 };
 
@@ -51,7 +52,7 @@
 	reject(error: RecordError): void;
 };
 
-/** What an answer of a gatherer means. */
+/** How each outcome that a gatherer reports settles a pending write. */
 const outcomes: Readonly<Record<MessageOf<'committed'>['outcome'], (pending: Pending, row: StoredRow | undefined) => void>> = {
 	written({resolve}) {
 		resolve({isWritten: true});
@@ -60,14 +61,14 @@
 		resolve({isWritten: false, row});
 	},
 	unavailable({reject}) {
-		reject(new RecordError('unavailable', 'the store can not be written by the gatherer'));
+		reject(new RecordError('unavailable', 'the gatherer cannot write to the store'));
 	},
 	unknown({reject}) {
-		reject(new RecordError('unknown', 'the gatherer does not know whether it was written'));
+		reject(new RecordError('unknown', 'the gatherer does not know whether the row was written'));
 	},
 };
 
-/** Commits rows of this entry through a gatherer, and rows of others if it is one. */
+/** Commits rows of this entry directly or through a gatherer, and rows of other entries if this one is a gatherer. */
 export class CommitGateway implements Committer {
 	readonly #settings: CommitGatewaySettings;
 	readonly #commits: GroupCommit;
@@ -79,7 +80,7 @@
 		this.#commits = new GroupCommit(settings.tables, () => this.gatherers.includes(settings.name) ? gatherIntervalMs : directIntervalMs);
 	}
 
-	/** Entries that gather at present; none while each commits by itself. */
+	/** Names of the current gatherers; empty while each entry commits directly. */
 	get gatherers(): string[] {
 		const {name, listEntries, maxDirect: limit = maxDirect} = this.#settings;
 		const entries = [...new Set([...listEntries(), name])];
@@ -92,7 +93,7 @@
 		return gatherer === undefined || gatherer === this.#settings.name ? this.#commits.write(write) : this.#writeThrough(gatherer, write);
 	}
 
-	/** Takes a message from another entry. */
+	/** Handles a message from another entry. */
 	receive(from: string, message: MessageOf<'commit' | 'committed'>): void {
 		if (message.kind === 'commit') {
 			void this.#commitFor(from, message);
@@ -105,7 +106,7 @@
 		}
 	}
 
-	/** A link to an entry was lost: what it was to write may have been written. */
+	/** Rejects the writes pending at an entry whose link was lost; they may have been written. */
 	onLinkDown(entry: string): void {
 		for (const [commit, {gatherer}] of this.#pending) {
 			if (gatherer === entry) {
@@ -125,7 +126,7 @@
 				gatherer, timer, resolve, reject,
 			});
 			if (!this.#settings.send(gatherer, {kind: 'commit', commit, write})) {
-				// Nothing was sent, so this entry commits by itself.
+				// Nothing was sent, so this entry commits directly.
 				this.#take(commit);
 				this.#commits.write(write).then(resolve, reject);
 			}
@@ -139,7 +140,7 @@
 			});
 		};
 
-		// Other rows have owners of their own, whom no entry may write for.
+		// Only claims are written for other entries; rows of other tables have owners that must write them.
 		if (write.table !== claimTable) {
 			answer('unavailable');
 			return;
--- a/packages/systems/src/configuration-adopter.ts
+++ b/packages/systems/src/configuration-adopter.ts
@@ -1,20 +1,20 @@
 /**
- * How an accepted configuration comes into force in every process, and never reverts.
+ * Distributes an accepted configuration to every process and ensures that the version never decreases.
  *
- * A few entries of each data centre, chosen by rendezvous rank, read the head of the record each second. All others
- * learn of a new version over the links they have anyway: who adopts one tells its peers the number (a digest);
- * a peer that is behind answers with its own number, which asks for what is missing; it is sent a delta, or
- * the whole. So a change crosses each link as a few bytes and enters each process once. Digests are
- * repeated every few seconds against losses. Nothing is kept on disk.
+ * A few entries of each data centre, chosen by rendezvous rank, read the head of the record each second. All other processes
+ * receive a new version over their existing links: a process that adopts one sends its version number (a digest) to its peers;
+ * a peer with a lower version answers with its own number, which requests the missing part; it receives a delta or
+ * the full configuration. So a change crosses each link as a few bytes, and its content is sent to each process once. Digests are
+ * repeated every few seconds in case messages are lost. Nothing is stored on disk.
  *
- * How to wire it, in an entry or an agent; each method returns what to send:
+ * Usage in an entry or an agent; each method returns the messages to send:
  *
  * ```ts
  * const adopter = new ConfigurationAdopter({name, log, random, invariants, onAdopted, reader});  // reader: entries only
  * adopter.onLinkUp(peer)            // when a link is up
  * adopter.onLinkDown(peer)          // when it is lost
  * adopter.receive(peer, message)    // for 'configuration', 'configuration-delta' and 'digest'
- * await adopter.tick()              // each second; an entry also once at its start, before it is ready
+ * await adopter.tick()              // each second; in an entry also once at start, before it is ready
  * adopter.offer(accepted)           // entries: after an operator's change was accepted here
  * adopter.isReady                   // for /readyz
  * adopter.describe()                // for `status`: own version, peers' versions, whether the store answers
@@ -28,28 +28,28 @@
 } from '@wasabiusher/shared';
 import type {Invariants} from './invariants.js';
 
-/** Messages that the adopter sends and receives. */
+/** A message that the adopter sends or receives. */
 export type ConfigurationMessage = MessageOf<'configuration' | 'configuration-delta' | 'digest'>;
 
 /** A message for a peer. */
 export type ConfigurationOutput = {to: string; message: ConfigurationMessage};
 
-/** Readers of a data centre: one may die and one lag without a change being seen late; 19 × 3 reads a second in all. */
+/** Number of entries per data centre that read the record: one may crash and one may lag without delaying a change; 19 × 3 reads per second in total. */
 const readersPerDataCentre = 3;
 
-/** Ticks between two digests to all peers: at 64 links of 30 bytes each, 0.4 KB/s. */
+/** Number of ticks between two digests to all peers; 0.4 KB/s with 30 bytes on each of 64 links. */
 const digestTicks = 5;
 
-/** Time after which what was asked of one peer is asked of another, in milliseconds. */
+/** Time after which a version requested from one peer is requested from another, in milliseconds. */
 const requestRetryMs = 500;
 
-/** Peers whose word a new process takes when the store can not be read. */
+/** Number of peers that must report a version before a new process that cannot read the store is ready. */
 const minPeersForReadiness = 3;
 
-/** Changes for which deltas can be made; over two minutes at the size designed for. */
+/** Maximum number of changes kept to create deltas from; more than two minutes of changes at the design rate. */
 const maxDeltaChanges = 64;
 
-/** Where an entry reads the record. */
+/** Gives an entry access to the record. */
 export type ConfigurationReader = {
 	history: ConfigurationHistory;
 	/** Names of the live entries of this data centre, this one included. */
@@ -59,31 +59,31 @@
 export type ConfigurationAdopterSettings = {
 	/** Name of this process. */
 	name: string;
-	/** Its data centre, over whose entries the readers are chosen. */
+	/** Data centre of this process; its readers are chosen among the entries of this data centre. */
 	dataCentre: string;
 	log: Log;
 	random: Random;
 	invariants: Invariants;
-	/** Only where the store can be reached: entries. */
+	/** Present only in entries, which can reach the store. */
 	reader?: ConfigurationReader;
 	/** Called with each version that comes into force here. */
 	onAdopted(accepted: AcceptedConfiguration): void;
 };
 
-/** A change that was adopted: what it touched on the way from `from`. */
+/** An adopted change: the version before it, and the names that it changed. */
 type AdoptedChange = {from: number; changed: ChangedNames};
 
-/** How the configuration stands here. */
+/** State of the configuration in this process. */
 export type AdopterStatus = {
 	version: number;
 	isReady: boolean;
 	/** Whether the last read of the record succeeded; undefined if this process does not read it. */
 	isStoreReachable?: boolean;
-	/** Versions that peers have in force, as last heard. */
+	/** Versions in force at peers, as last reported; 0 if not reported yet. */
 	peers: Array<{peer: string; version: number}>;
 };
 
-/** Keeps the configuration of one process. */
+/** Holds the configuration of one process and exchanges versions with its peers. */
 export class ConfigurationAdopter {
 	readonly #settings: ConfigurationAdopterSettings;
 	readonly #peers = new Map<string, number | undefined>();
@@ -105,20 +105,20 @@
 		this.#settings = settings;
 	}
 
-	/** What is in force. */
+	/** The configuration in force. */
 	get accepted(): AcceptedConfiguration {
 		return this.#accepted;
 	}
 
-	/** Whether what is in force is known to be the newest of the store, or of several peers. */
+	/** Whether the store has been read, or the version in force is at least the highest that enough peers report. */
 	get isReady(): boolean {
 		if (this.#hasReadStore) {
 			return true;
 		}
 
-		const heard = [...this.#peers.values()].filter(version => version !== undefined && version > 0);
-		const needed = Math.max(1, Math.min(minPeersForReadiness, this.#peers.size));
-		return heard.length >= needed && this.#accepted.version >= Math.max(...heard.map(version => version!));
+		const reportedVersions = [...this.#peers.values()].filter(version => version !== undefined && version > 0);
+		const requiredPeers = Math.max(1, Math.min(minPeersForReadiness, this.#peers.size));
+		return reportedVersions.length >= requiredPeers && this.#accepted.version >= Math.max(...reportedVersions.map(version => version!));
 	}
 
 	describe(): AdopterStatus {
@@ -146,12 +146,12 @@
 		return handle(from, message);
 	}
 
-	/** Takes a change that an operator made through this process. */
+	/** Adopts a change that an operator made through this process. */
 	offer(accepted: AcceptedConfiguration): ConfigurationOutput[] {
 		return this.#adopt(accepted);
 	}
 
-	/** Reads the record if it is this process's turn, and repeats digests. Never rejects. */
+	/** Reads the record if this process is a reader, and repeats digests. Never rejects. */
 	async tick(): Promise<ConfigurationOutput[]> {
 		this.#ticks += 1;
 		const digests = this.#ticks % digestTicks === 0 ? [...this.#peers.keys()].map(peer => this.#createDigest(peer)) : [];
@@ -169,7 +169,7 @@
 			const head = await reader.history.readHead();
 			this.#updateStoreReachable(true);
 			this.#hasReadStore = true;
-			// A store that was set back must not set back what is in force.
+			// If the store was reset to an older state, the configuration in force must not revert with it.
 			return head.version > this.#accepted.version ? this.#adopt(head) : [];
 		} catch (error) {
 			this.#updateStoreReachable(false);
@@ -180,7 +180,7 @@
 		}
 	}
 
-	/** Who is not ready reads whatever its rank. */
+	/** Returns whether this process reads the record; one that is not ready does so whatever its rank. */
 	#isReader({listEntries}: ConfigurationReader): boolean {
 		const {name, dataCentre} = this.#settings;
 		const entries = [...new Set([...listEntries(), name])];
@@ -199,22 +199,22 @@
 		if (isReachable) {
 			log.info('configuration_store_reachable', values);
 		} else {
-			log.warn('configuration_store_unreachable', {...values, detail: 'serving on under this version; no change can be accepted here'});
+			log.warn('configuration_store_unreachable', {...values, detail: 'continuing with this version; no change can be accepted by this process'});
 		}
 	}
 
 	#receiveDigest(from: string, {configurationVersion: version}: MessageOf<'digest'>): ConfigurationOutput[] {
-		// The first digest after a link came up crosses ours, which asks already.
-		const isAsked = this.#peers.get(from) === undefined;
+		// The first digest after a link came up crosses the one sent from here, which already acts as a request.
+		const isRequested = this.#peers.get(from) === undefined;
 		this.#peers.set(from, version);
 		if (version > this.#accepted.version) {
-			return isAsked ? [] : this.#requestUpdate(from, version);
+			return isRequested ? [] : this.#requestUpdate(from, version);
 		}
 
 		return version < this.#accepted.version ? [this.#createUpdate(from, version)] : [];
 	}
 
-	/** Asks by telling the own version, unless the same was asked of another a moment ago. */
+	/** Requests a version by sending the own one, unless the same version was requested from another peer recently. */
 	#requestUpdate(from: string, version: number): ConfigurationOutput[] {
 		const now = performance.now();
 		if (version <= this.#lastRequest.version && now - this.#lastRequest.at < requestRetryMs) {
@@ -231,7 +231,7 @@
 		}
 
 		const accepted = applyConfigurationDelta(this.#accepted, delta);
-		// A delta that does not fit shows a gap or a drifted copy: version 0 asks for the whole.
+		// A delta that cannot be applied indicates a gap or a diverged copy; version 0 requests the full configuration.
 		return accepted ? this.#adopt(accepted, from) : [{to: from, message: {kind: 'digest', configurationVersion: 0}}];
 	}
 
@@ -241,7 +241,7 @@
 			this.#peers.set(from, Math.max(accepted.version, this.#peers.get(from) ?? 0));
 		}
 
-		// The same version from several peers is usual; only a lower one would be a fault, and it is not adopted either.
+		// Receiving the same version from several peers is normal; a lower one is a fault, and is not adopted either.
 		if (accepted.version <= this.#accepted.version) {
 			return [];
 		}
@@ -269,11 +269,11 @@
 			return {to, message: {kind: 'configuration', accepted: this.#accepted}};
 		}
 
-		const steps = this.#changes.slice(first);
+		const changes = this.#changes.slice(first);
 		const changed = {
-			profiles: new Set(steps.flatMap(step => [...step.changed.profiles])),
-			services: new Set(steps.flatMap(step => [...step.changed.services])),
+			profiles: new Set(changes.flatMap(change => [...change.changed.profiles])),
+			services: new Set(changes.flatMap(change => [...change.changed.services])),
 		};
-		return {to, message: {kind: 'configuration-delta', delta: createConfigurationDelta(this.#accepted, steps[0]!.from, changed)}};
+		return {to, message: {kind: 'configuration-delta', delta: createConfigurationDelta(this.#accepted, changes[0]!.from, changed)}};
 	}
 }
--- a/packages/systems/src/index.ts
+++ b/packages/systems/src/index.ts
@@ -1,4 +1,4 @@
-/** What runs over the tables: the entry's dispatch of calls and the agent's execution of them. */
+/** The entry's dispatch of calls, steps and orders, and the agent's execution of calls. */
 export * from './answer-buffer.js';
 export * from './claimed-calls.js';
 export * from './commit-gateway.js';
--- a/packages/systems/src/objective-metrics.ts
+++ b/packages/systems/src/objective-metrics.ts
@@ -1,5 +1,5 @@
 /**
- * What the burn report is made from: for each profile's objectives, the good and bad events of the last hours.
+ * Counts the good and bad events of the last hours for each profile's objectives, which the burn report is computed from.
  */
 import {Gauge, type Registry} from 'prom-client';
 import {
@@ -11,12 +11,12 @@
 
 type Row = {profile: string; objective: Objective; target: number; counts: ObjectiveCounts};
 
-/** Counts events and shows them as metrics; profiles without the objective are not counted. */
+/** Counts events and exposes them as metrics; events of profiles without the objective are ignored. */
 export class ObjectiveMetrics {
 	readonly #profiles: () => Readonly<Record<string, Profile>>;
 	readonly #counts = new Map<string, ObjectiveCounts>();
 
-	/** @param profiles - those in force */
+	/** @param profiles - returns the profiles in force, by name */
 	constructor(registry: Registry, profiles: () => Readonly<Record<string, Profile>>) {
 		this.#profiles = profiles;
 		this.#register(registry);
@@ -25,7 +25,7 @@
 	/**
 	 * Counts an event.
 	 *
-	 * @param weight - events at once, such as milliseconds of a trainer's time
+	 * @param weight - number of events, for example milliseconds of a trainer's time
 	 */
 	record(profile: string, objective: Objective, isGood: boolean, weight = 1): void {
 		if (this.#profiles()[profile]?.objective[objective] !== undefined) {
@@ -78,7 +78,7 @@
 		}));
 	}
 
-	/** One row for each objective in force, also for those without events so far. */
+	/** Returns one row for each objective in force, including objectives without events. */
 	#list(): Row[] {
 		return Object.entries(this.#profiles()).flatMap(([profile, {objective: objectives}]) => listTargets(objectives)
 			.map(([objective, target]) => ({
--- a/packages/systems/src/part-gatherer.ts
+++ b/packages/systems/src/part-gatherer.ts
@@ -1,27 +1,27 @@
 /**
- * Gathers the parts of one stream, so that tokens made within a few milliseconds go out together.
+ * Coalesces the parts of one stream, so that tokens generated within a few milliseconds are sent together.
  *
- * Load pattern: hundreds of streams make a token every few milliseconds each. Without this
- * each token is a message, an event of the caller's stream and a share of an acknowledgement.
- * The first part goes out at once, as do all other events, and at a low rate each part does; parts stay apart within an event,
- * so their versions and texts are what the engine made.
+ * Load pattern: hundreds of streams each generate a token every few milliseconds. Without coalescing,
+ * each token costs a message, an event of the caller's stream and part of an acknowledgement.
+ * The first part and all other events are sent at once, and at a low rate so is every part of an interactive stream. Parts are not merged within an event,
+ * so their versions and texts stay as the engine generated them.
  */
 import type {AnswerEvent} from '@wasabiusher/link';
 import type {GenerationPart, PriorityClass} from '@wasabiusher/shared';
 
 /**
- * How long a part may wait for others, in milliseconds. Nobody sees 8 ms between tokens on a
- * screen (60 pictures a second); nobody at all reads a rollout while it is made.
+ * Maximum time that a part is held for coalescing, in milliseconds. A delay of 8 ms between tokens is not visible on a
+ * screen (60 frames per second); a rollout is not read by a person while it is generated.
  */
 const coalescingMs: Readonly<Record<PriorityClass, number>> = {interactive: 8, rollout: 50, background: 50};
 
-/** Parts a second at one agent up to which those of interactive callers go out as they come: some 2% of a core. */
+/** Number of parts per second at one agent up to which parts of interactive callers are sent immediately; costs about 2% of a core. */
 const lowRatePartsPerSecond = 2000;
 
-/** Time over which the rate is measured, in milliseconds. */
+/** Window over which the rate is measured, in milliseconds. */
 const rateWindowMs = 100;
 
-/** How many parts an agent passes on in a second. */
+/** Measures the number of parts per second that an agent forwards. */
 export class PartRate {
 	#windowStart = 0;
 	#count = 0;
@@ -42,12 +42,12 @@
 	}
 }
 
-/** How long a part of a class may wait for others at this rate, in milliseconds. */
+/** Returns how long a part of a priority class may be held for coalescing at the current rate, in milliseconds. */
 export function findGatherMs(name: PriorityClass, rate: PartRate): number {
 	return name === 'interactive' && rate.isLow ? 0 : coalescingMs[name];
 }
 
-/** Parts of one stream on their way to its entry. */
+/** Coalesces the parts of one stream on their way to its entry. */
 export class PartGatherer {
 	readonly #findWindowMs: () => number;
 	readonly #send: (event: AnswerEvent) => void;
@@ -56,8 +56,8 @@
 	#timer: NodeJS.Timeout | undefined;
 
 	/**
-	 * @param findWindowMs - longest wait of a part at present, in milliseconds
-	 * @param send - takes each event in order
+	 * @param findWindowMs - returns how long a part may currently be held, in milliseconds
+	 * @param send - receives each event in order
 	 */
 	constructor(findWindowMs: () => number, send: (event: AnswerEvent) => void) {
 		this.#findWindowMs = findWindowMs;
@@ -83,7 +83,7 @@
 		}, waitMs);
 	}
 
-	/** Sends what was gathered, now. */
+	/** Sends the held parts immediately. */
 	flush(): void {
 		clearTimeout(this.#timer);
 		this.#timer = undefined;
--- a/packages/systems/src/placement-runner.ts
+++ b/packages/systems/src/placement-runner.ts
@@ -1,9 +1,9 @@
 /**
- * Moves engines between models as demand moves.
+ * Moves engines between models as demand changes.
  *
- * Run by whoever holds the lease of the service's orders, as rollouts of weights are. It goes by what endpoints report and
- * by what waits at this entry, and leaves the choice to `decisions/placement`. An engine that holds several
- * models, as its operator has set it up, is left as it is.
+ * The holder of the lease on the service's orders runs it, as with rollouts of weights. Its inputs are what endpoints report and
+ * the requests queued at this entry; `decisions/placement` makes the choice. An engine that its operator has set up with several
+ * models is not changed.
  */
 import {
 	DemandHistory, planPlacement, type Change, type Demand, type Holder,
@@ -12,41 +12,41 @@
 import type {Log} from '@wasabiusher/shared';
 import type {ControlledEndpoint, WeightRolloutSettings} from './weight-rollout.js';
 
-/** Requests of one model that wait for an endpoint, or run there. */
+/** Number of requests of one model that wait for an endpoint or run there. */
 export type ModelDemand = {model: string; requests: number; interactive: number};
 
 export type PlacementRunnerSettings = Pick<WeightRolloutSettings, 'service' | 'lease' | 'listEndpoints' | 'send'> & {
 	log: Log;
-	/** Requests that wait at entries, as far as this process knows. */
+	/** Returns the requests queued at entries that this process knows of. */
 	listWaiting(): Iterable<ModelDemand>;
-	/** Whether an endpoint carries out another order at present. */
+	/** Returns whether another order is pending at an endpoint. */
 	isOrdered(agent: string): boolean;
-	/** The newest published version of a model; undefined if there is none. */
+	/** Returns the newest published version of a model; undefined if there is none. */
 	findVersion(model: string): number | undefined;
 };
 
-/** How often demand is measured and a plan made, in milliseconds; demand moves over minutes. */
+/** Interval at which demand is measured and a plan is made, in milliseconds; demand changes over minutes. */
 const planIntervalMs = 1000;
 
-/** Longest time for a change until it is given up, in milliseconds: two orders of 30 s. */
+/** Time after which a change is abandoned, in milliseconds: two orders of 30 s each, with a margin. */
 const changeTimeoutMs = 65_000;
 
-/** Time that a change takes an engine out until one was measured, in milliseconds: weights of some 100 GB at 10 GB/s. */
+/** Assumed time that an engine is unavailable during a change, in milliseconds, until one was measured: weights of about 100 GB at 10 GB/s. */
 const initialCostMs = 10_000;
 
-/** Part of that for another adapter of the same model, whose weights are there. */
+/** Fraction of the cost for a change to another adapter of the same model, whose weights are already loaded. */
 const adapterCostRatio = 0.1;
 
-/** Weight of the newest measurement of the cost. */
+/** Weight of the newest measurement in the smoothed cost. */
 const costSmoothing = 0.3;
 
 /**
- * What an engine is on its way to. The old model goes first: an engine that is left between the two steps holds
- * nothing, which the next holder of the lease sees and mends.
+ * A change of an engine's model that is in progress. The old model is unloaded first: an engine that is left between the two steps holds
+ * no model, which the next holder of the lease detects and corrects.
  */
 type Move = Change & {order: string; step: 'unload' | 'load'; startedAt: number};
 
-/** The placement of one service's models. */
+/** Runs the placement of one service's models. */
 export class PlacementRunner {
 	readonly #settings: PlacementRunnerSettings;
 	#history = new DemandHistory();
@@ -60,7 +60,7 @@
 		this.#settings = settings;
 	}
 
-	/** Engines that are being changed. */
+	/** Number of engines that are being changed. */
 	get moving(): number {
 		return this.#moves.size;
 	}
@@ -69,7 +69,7 @@
 		return this.#moves.has(agent);
 	}
 
-	/** Measures demand and orders what is due; does nothing without the lease. */
+	/** Measures demand and sends the orders that are due; does nothing without the lease. */
 	tick(): void {
 		const now = performance.now();
 		if (!this.#settings.lease.holds()) {
@@ -95,7 +95,7 @@
 		}
 	}
 
-	/** An agent has carried out an order, or not. */
+	/** Handles an agent's answer to an order. */
 	receive(agent: string, {order, outcome, detail}: MessageOf<'ordered'>): void {
 		const move = this.#moves.get(agent);
 		if (move?.order !== order) {
@@ -121,7 +121,7 @@
 		this.#end(agent, now);
 	}
 
-	/** Demand of each model in endpoints: what runs and waits at those that hold it, and what waits at entries. */
+	/** Returns the demand of each model, as a number of endpoints: requests that run and wait at endpoints that hold it, and requests queued at entries. */
 	#measure(endpoints: readonly ControlledEndpoint[]): Demand[] {
 		const demands = new Map<string, Demand>();
 		const add = (name: string, total: number, interactive: number) => {
@@ -146,12 +146,12 @@
 
 	#describeHolder({agent, status}: ControlledEndpoint): Holder {
 		const move = this.#moves.get(agent);
-		// What is under way counts as done, or another would be sent after it.
+		// A change in progress counts as done; otherwise another engine would be moved for the same demand.
 		const holds = move?.to ?? status.models[0]?.model ?? '';
 		return {
 			id: agent,
 			holds,
-			// One that holds nothing has no reason to stay put.
+			// An engine that holds no model may be changed at any time.
 			changedAt: holds === '' ? Number.NEGATIVE_INFINITY : this.#changedAt.get(agent) ?? Number.NEGATIVE_INFINITY,
 			isChanging: move !== undefined || this.#settings.isOrdered(agent),
 		};
@@ -198,7 +198,7 @@
 		}
 	}
 
-	/** The answer may be lost; what the engine holds shows in its status. */
+	/** Abandons changes without an answer, which may have been lost; the engine's status shows what it holds. */
 	#expireMoves(now: number): void {
 		for (const [agent, {startedAt}] of this.#moves) {
 			if (now - startedAt > changeTimeoutMs) {
@@ -212,7 +212,7 @@
 		this.#changedAt.set(agent, now);
 	}
 
-	/** Another holder goes on. */
+	/** Clears all state when the lease is lost, since another holder continues. */
 	#reset(): void {
 		this.#moves.clear();
 		this.#changedAt.clear();
--- a/packages/systems/src/poll-until.ts
+++ b/packages/systems/src/poll-until.ts
@@ -1,15 +1,15 @@
 /**
- * Waiting for a state that nothing announces.
+ * Polls for a state whose change is not signalled by an event.
  */
 
-/** How often it is looked at, in milliseconds. */
+/** Polling interval, in milliseconds. */
 const pollIntervalMs = 20;
 
-/** Resolves to whether the state holds, at the latest after the given time. */
+/** Waits until `holds` returns true; resolves to its last result, at the latest after `timeoutMs` milliseconds. */
 export async function pollUntil(holds: () => boolean, timeoutMs: number): Promise<boolean> {
 	const giveUpAt = performance.now() + timeoutMs;
 	while (!holds() && performance.now() < giveUpAt) {
-		// Each look waits for the one before.
+		// Each poll follows the previous one.
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise(resolve => {
 			setTimeout(resolve, pollIntervalMs);
--- a/packages/systems/src/retired-models.ts
+++ b/packages/systems/src/retired-models.ts
@@ -1,14 +1,14 @@
 /**
- * Models that an endpoint is about to unload: no new work is taken for them, and what runs is let end.
+ * Tracks models that an endpoint is about to unload: new work for them is refused, and running work may finish.
  */
 import {pollUntil} from './poll-until.js';
 
-/** Models of one endpoint for which no work is taken at present. */
+/** Models of one endpoint for which new work is currently refused. */
 export class RetiredModels {
 	readonly #models = new Set<string>();
 	readonly #isRunning: (model: string) => boolean;
 
-	/** @param isRunning - whether anything runs for a model */
+	/** @param isRunning - returns whether any work runs for a model */
 	constructor(isRunning: (model: string) => boolean) {
 		this.#isRunning = isRunning;
 	}
@@ -25,7 +25,7 @@
 		this.#models.delete(model);
 	}
 
-	/** Resolves to whether nothing runs for the model any more, at the latest after the given time. */
+	/** Waits until no work runs for the model; resolves to false if some still does after `timeoutMs` milliseconds. */
 	async waitForRuns(model: string, timeoutMs: number): Promise<boolean> {
 		return pollUntil(() => !this.#isRunning(model), timeoutMs);
 	}
--- a/packages/systems/src/rollout-progress.ts
+++ b/packages/systems/src/rollout-progress.ts
@@ -1,33 +1,33 @@
 /**
- * How one endpoint gets to an ordered version: what changes its place in a rollout of weights.
+ * Tracks how one endpoint gets to an ordered version: the events that change its state in a rollout of weights.
  */
 import {failReplica, maxFailures, type Replica} from '@wasabiusher/decisions';
 
-/** Longest time from the answer to a swap until its version shows in a status, in milliseconds; the status goes first. */
+/** Maximum time from the answer to a swap until a status shows its version, in milliseconds; the status is normally sent first. */
 const statusTimeoutMs = 3000;
 
-/** Failed fetches after which an endpoint is told to swap all the same: its engine may not know how to fetch ahead. */
+/** Number of failed fetches after which a swap is ordered without one, since the engine may not support prefetching. */
 const maxFetchFailures = 2;
 
-/** One endpoint on its way to a version. */
+/** Progress of one endpoint towards a version. */
 export type Progress = {
 	replica: Replica;
 	fetchFailures: number;
-	/** What the last failure was. */
+	/** Detail of the last failure; empty if there was none. */
 	detail: string;
-	/** When a swap was said to be done that no status shows, on the monotonic clock. */
+	/** When a swap was answered as done that no status shows yet, on the monotonic clock. */
 	swappedAt?: number;
 };
 
-/** An endpoint that has not been ordered anything. */
+/** Returns the progress of an endpoint that has received no order. */
 export function createProgress(agent: string): Progress {
 	return {replica: {id: agent, state: 'old', failures: 0}, fetchFailures: 0, detail: ''};
 }
 
 /**
- * Takes over what the endpoint reports.
+ * Updates the progress from a report of the endpoint.
  *
- * @param reported - its version
+ * @param reported - the version that the endpoint reports
  * @param wanted - the version of the rollout
  */
 export function applyReport(known: Progress, reported: number, wanted: number): Progress {
@@ -36,12 +36,12 @@
 		return {...createProgress(replica.id), replica: {id: replica.id, state: 'current', failures: 0}};
 	}
 
-	// It was there and is no longer, or never showed: the engine was started anew.
+	// The version was reported before and is no longer, or was never reported after the swap: the engine was restarted.
 	const isLost = replica.state === 'current' || (swappedAt !== undefined && performance.now() - swappedAt > statusTimeoutMs);
 	return isLost ? createProgress(replica.id) : known;
 }
 
-/** An order has failed; the endpoint is tried again later, and told to swap if it can not fetch ahead. */
+/** Records a failed order; the endpoint is retried later, and a swap is ordered if it cannot prefetch. */
 export function applyFailure(known: Progress, kind: 'prefetch' | 'load', detail: string): Progress {
 	const replica = failReplica(known.replica, performance.now());
 	const failedFetches = known.fetchFailures + (kind === 'prefetch' ? 1 : 0);
@@ -49,7 +49,7 @@
 	return {replica: {...replica, state}, fetchFailures: failedFetches, detail};
 }
 
-/** Whether it is left at its version until there is a newer one. */
+/** Returns whether an endpoint stays at its version until there is a newer one, after too many failures. */
 export function isStuck({state, failures}: Replica): boolean {
 	return state !== 'current' && failures >= maxFailures;
 }
--- a/packages/systems/src/weight-rollout.ts
+++ b/packages/systems/src/weight-rollout.ts
@@ -1,9 +1,9 @@
 /**
- * Brings new versions of models to all endpoints of a service, in waves.
+ * Rolls out new versions of models to all endpoints of a service, in waves.
  *
- * Run by whoever holds the lease of the service's orders. All that it goes by is what endpoints report and what
- * the weight store lists, so another holder goes on from where the last one was: what was fetched is asked for
- * again, which is soon answered. An endpoint counts as done when it reports the version, never by an order.
+ * The holder of the lease on the service's orders runs it. Its only inputs are what endpoints report and what
+ * the weight store lists, so another holder continues where the previous one stopped: fetches are ordered
+ * again, and those already complete are answered quickly. An endpoint counts as done when it reports the version, not when an order is answered.
  */
 import {planWave, type Replica, type WavePlan} from '@wasabiusher/decisions';
 import type {EndpointStatus, Message, MessageOf} from '@wasabiusher/link';
@@ -13,7 +13,7 @@
 	createProgress, applyFailure, applyReport, isStuck, type Progress,
 } from './rollout-progress.js';
 
-/** An endpoint as control sees it. */
+/** An endpoint as the control of its service knows it. */
 export type ControlledEndpoint = {
 	/** Name of its agent. */
 	agent: string;
@@ -21,7 +21,7 @@
 	status: EndpointStatus;
 };
 
-/** The right to give orders; a `LeaseHolder` has this shape. */
+/** The lease that allows this process to send orders; a `LeaseHolder` satisfies this type. */
 export type OrderLease = {readonly fence: number; holds(): boolean};
 
 export type WeightRolloutSettings = {
@@ -29,7 +29,7 @@
 	weights: WeightStore;
 	lease: OrderLease;
 	log: Log;
-	/** Fetches that the weight store serves at once at full speed. */
+	/** Number of concurrent fetches that the weight store serves at full speed. */
 	storeStreams?: number;
 	/** Endpoints of the service that this process has links to. */
 	listEndpoints(): ControlledEndpoint[];
@@ -37,30 +37,30 @@
 	send(agent: string, message: Message): boolean;
 };
 
-/** How the rollout of one version stands. */
+/** Progress of the rollout of one version. */
 export type RolloutProgress = {
 	service: string;
 	model: string;
 	version: number;
-	/** Endpoints by their state. */
+	/** Number of endpoints in each state. */
 	counts: Record<Replica['state'], number>;
-	/** Endpoints that are left at an older version, and why. */
+	/** Endpoints that stay at an older version, with the reason. */
 	stuck: Array<{agent: string; detail: string}>;
-	/** Since the version was seen, in milliseconds, or until it was everywhere. */
+	/** Time since the version was found in the weight store, in milliseconds; once the rollout is done, its duration. */
 	elapsedMs: number;
 	isDone: boolean;
 };
 
-/** Fetches at once by default: enough to use a store's rate whole, few enough that the first ones soon end. */
+/** Default number of concurrent fetches: enough to use the store's full rate, few enough that the first ones finish soon. */
 const defaultStoreStreams = 4;
 
-/** How often the weight store is asked for new versions, in milliseconds: a twentieth of the 17 s that a rollout may take. */
+/** Interval at which the weight store is polled for new versions, in milliseconds: about a twentieth of the 17 s that a rollout may take. */
 const versionPollIntervalMs = 1000;
 
-/** Longest wait for the answer to an order, in milliseconds; the agent's own limit towards the engine is 30 s. */
+/** Maximum wait for the answer to an order, in milliseconds; above the agent's own 30 s timeout for the engine. */
 const orderTimeoutMs = 35_000;
 
-/** Time in which interactive demand is mostly forgotten, in milliseconds, so that a pause of a second lends nothing. */
+/** Time constant with which recorded interactive demand decays, in milliseconds, so that a pause of one second does not release endpoints. */
 const interactiveDecayMs = 20_000;
 
 type Rollout = {
@@ -73,7 +73,7 @@
 
 type PendingOrder = {rollout: Rollout; agent: string; kind: 'prefetch' | 'load'; sentAt: number};
 
-/** The rollouts of one service. */
+/** Runs the rollouts of one service. */
 export class WeightRollout {
 	readonly #settings: WeightRolloutSettings;
 	readonly #rollouts = new Map<string, Rollout>();
@@ -89,7 +89,7 @@
 		this.#settings = settings;
 	}
 
-	/** Reads what is new and orders what is due; does nothing without the lease. Never rejects. */
+	/** Reads new versions and sends the orders that are due; does nothing without the lease. Never rejects. */
 	async tick(): Promise<void> {
 		if (!this.#settings.lease.holds()) {
 			this.#reset();
@@ -100,7 +100,7 @@
 		this.#plan();
 	}
 
-	/** An agent has carried out an order, or not. */
+	/** Handles an agent's answer to an order. */
 	receive(agent: string, {order: id, outcome, detail}: MessageOf<'ordered'>): void {
 		const order = this.#orders.get(id);
 		if (order?.agent !== agent) {
@@ -117,17 +117,17 @@
 		this.#plan();
 	}
 
-	/** Whether an endpoint carries out an order of a rollout at present. */
+	/** Returns whether an order of a rollout is pending at an endpoint. */
 	isOrdered(agent: string): boolean {
 		return [...this.#orders.values()].some(order => order.agent === agent);
 	}
 
-	/** The newest version of a model that the weight store has shown. */
+	/** Returns the newest version of a model that the weight store has listed; undefined if there is none. */
 	findVersion(model: string): number | undefined {
 		return this.#rollouts.get(model)?.version;
 	}
 
-	/** How all rollouts stand; empty without the lease. */
+	/** Returns the progress of all rollouts; empty without the lease. */
 	describe(): RolloutProgress[] {
 		const now = performance.now();
 		return [...this.#rollouts.values()].map(({model, version, seenAt, doneAt, progress}) => {
@@ -171,7 +171,7 @@
 		}
 	}
 
-	/** A version only ever goes up; a newer one takes the place of a rollout under way. */
+	/** Starts the rollout of a newer version, which replaces a running one; older versions are ignored. */
 	#addVersion(model: string, version: number): void {
 		const known = this.#rollouts.get(model);
 		if (!known || version > known.version) {
@@ -182,7 +182,7 @@
 	}
 
 	#plan(): void {
-		// Each order asks again, since the lease may lapse between two of them.
+		// Each order checks the lease again, since it may expire between two of them.
 		if (!this.#settings.lease.holds()) {
 			return;
 		}
@@ -194,7 +194,7 @@
 			this.#updateProgress(rollout, endpoints);
 			this.#sendOrders(rollout, planWave(this.#listReplicas(rollout), {
 				storeStreams: this.#settings.storeStreams ?? defaultStoreStreams,
-				// Engines say nothing of serving weights to one another.
+				// Engines do not report whether they serve weights to each other.
 				peerStreams: 0,
 				interactiveEndpoints: this.#interactiveEndpoints,
 			}, performance.now()));
@@ -209,7 +209,7 @@
 		this.#interactiveAt = now;
 	}
 
-	/** Takes over what endpoints report; one that has come, or come back with an older version, begins anew. */
+	/** Updates the progress from the reports of endpoints; a new endpoint, or one that reports an older version again, starts over. */
 	#updateProgress(rollout: Rollout, endpoints: readonly ControlledEndpoint[]): void {
 		const holders = new Map(endpoints.flatMap(({agent, status}) => {
 			const loaded = status.models.find(({model}) => model === rollout.model);
@@ -241,7 +241,7 @@
 		}
 	}
 
-	/** An endpoint that swaps another of its models is out for this one too. */
+	/** Returns the replicas; an endpoint that swaps another of its models counts as swapping for this one too. */
 	#listReplicas(rollout: Rollout): Replica[] {
 		const swapping = new Set([...this.#orders.values()].filter(({kind}) => kind === 'load').map(({agent}) => agent));
 		return [...rollout.progress].map(([agent, {replica}]) => swapping.has(agent) ? {...replica, state: 'swapping'} : replica);
@@ -282,7 +282,7 @@
 	#finishOrder({rollout, agent, kind}: PendingOrder): void {
 		const known = rollout.progress.get(agent);
 		if (known) {
-			// A swap that is done shows in a status; until then the endpoint is not asked again.
+			// A completed swap shows in a status; until then no further order is sent to the endpoint.
 			const isFetch = kind === 'prefetch';
 			rollout.progress.set(agent, {
 				...known, replica: {...known.replica, state: isFetch ? 'fetched' : 'swapping'}, swappedAt: isFetch ? undefined : performance.now(),
@@ -301,7 +301,7 @@
 		}
 	}
 
-	/** The answer to an order may be lost with the link that would have brought it. */
+	/** Fails orders without an answer, which may have been lost with the link. */
 	#expireOrders(): void {
 		const now = performance.now();
 		const up = new Set(this.#settings.listEndpoints().filter(({isUp}) => isUp).map(({agent}) => agent));
@@ -315,7 +315,7 @@
 		}
 	}
 
-	/** Another holder goes on; what is known here would be old when the lease comes back. */
+	/** Clears all state when the lease is lost: another holder continues, and the state would be outdated when the lease is regained. */
 	#reset(): void {
 		this.#rollouts.clear();
 		this.#orders.clear();
