--- a/packages/systems/__tests__/commit-gateway.spec.ts
+++ b/packages/systems/__tests__/commit-gateway.spec.ts
@@ -5,13 +5,13 @@
 import {Faults, FaultyTables} from '../../record/__tests__/faulty-storage.js';
 import {CommitGateway} from '../src/index.js';
 
-/** Entries of one data centre, joined to each other by links of 1 ms. */
-class Room {
+/** Simulates the entries of one data centre, connected to each other by links with a delay of 1 ms. */
+class FakeDataCentre {
 	readonly tables = new FaultyTables(new Faults());
 	readonly gateways = new Map<string, CommitGateway>();
-	/** Entries that hear nothing. */
+	/** Entries that receive no messages. */
 	readonly silent = new Set<string>();
-	/** Entries without a link. */
+	/** Entries that no link leads to. */
 	readonly cut = new Set<string>();
 
 	constructor(count: number) {
@@ -38,8 +38,8 @@
 		}
 	}
 
-	/** An entry that does not gather. */
-	get plain(): CommitGateway {
+	/** The gateway of an entry that is not a gatherer. */
+	get nonGatherer(): CommitGateway {
 		return [...this.gateways].find(([name, {gatherers}]) => !gatherers.includes(name))![1];
 	}
 }
@@ -70,12 +70,12 @@
 		clock.uninstall();
 	});
 
-	it('gathers rows of many entries into few transactions', async () => {
-		const room = new Room(50);
-		room.tables.faults.delayMs = 5;
+	it('commits rows of many entries in few transactions', async () => {
+		const dataCentre = new FakeDataCentre(50);
+		dataCentre.tables.faults.delayMs = 5;
 		const writes: Array<Promise<unknown>> = [];
 		for (let i = 0; i < 100; i += 1) {
-			writes.push(...[...room.gateways.values()].map(async (gateway, index) => gateway.write(createWrite(`${i}/${index}`))));
+			writes.push(...[...dataCentre.gateways.values()].map(async (gateway, index) => gateway.write(createWrite(`${i}/${index}`))));
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(100);
 		}
@@ -83,55 +83,55 @@
 		await clock.tickAsync(2000);
 		const results = await Promise.all(writes);
 		expect(results.every(result => (result as {isWritten: boolean}).isWritten)).to.be.true;
-		expect(room.tables.rows.size).to.equal(5000);
-		// 500 rows a second for 10 s: two gatherers, each with a transaction in 200 ms.
-		expect(room.tables.faults.writes).to.be.at.most(2 * 55);
+		expect(dataCentre.tables.rows.size).to.equal(5000);
+		// 500 rows per second for 10 s: two gatherers, each with one transaction per 200 ms.
+		expect(dataCentre.tables.faults.writes).to.be.at.most(2 * 55);
 	});
 
-	it('lets few entries commit by themselves', async () => {
-		const room = new Room(3);
-		expect(room.gateways.get('entry-0')!.gatherers).to.be.empty;
-		room.silent.add('entry-1').add('entry-2');
-		expect(await room.gateways.get('entry-0')!.write(createWrite('k'))).to.deep.equal({isWritten: true});
+	it('lets entries commit directly if there are few', async () => {
+		const dataCentre = new FakeDataCentre(3);
+		expect(dataCentre.gateways.get('entry-0')!.gatherers).to.be.empty;
+		dataCentre.silent.add('entry-1').add('entry-2');
+		expect(await dataCentre.gateways.get('entry-0')!.write(createWrite('k'))).to.deep.equal({isWritten: true});
 	});
 
-	it('tells who came first', async () => {
-		const room = new Room(10);
-		const first = room.plain.write(createWrite('k', 'first'));
+	it('returns the existing row to the second of two writers', async () => {
+		const dataCentre = new FakeDataCentre(10);
+		const first = dataCentre.nonGatherer.write(createWrite('k', 'first'));
 		await clock.tickAsync(300);
 		await first;
-		const second = room.gateways.get('entry-0')!.write(createWrite('k', 'second'));
+		const second = dataCentre.gateways.get('entry-0')!.write(createWrite('k', 'second'));
 		await clock.tickAsync(300);
 		expect(await second).to.deep.equal({isWritten: false, row: {key: 'k', value: {attempt: 'first'}, version: 1}});
 	});
 
-	it('commits by itself without a link, and does not know when a gatherer is silent or lost', async () => {
-		const room = new Room(10);
-		const {gatherers} = room.plain;
-		room.cut.add(gatherers[0]!).add(gatherers[1]!);
-		expect(await room.plain.write(createWrite('cut'))).to.deep.equal({isWritten: true});
-		room.cut.clear();
-		room.silent.add(gatherers[0]!).add(gatherers[1]!);
-		const silent = catchCode(room.plain.write(createWrite('silent')));
+	it('commits directly without a link, and reports an unknown outcome when a gatherer does not answer or its link is lost', async () => {
+		const dataCentre = new FakeDataCentre(10);
+		const {gatherers} = dataCentre.nonGatherer;
+		dataCentre.cut.add(gatherers[0]!).add(gatherers[1]!);
+		expect(await dataCentre.nonGatherer.write(createWrite('cut'))).to.deep.equal({isWritten: true});
+		dataCentre.cut.clear();
+		dataCentre.silent.add(gatherers[0]!).add(gatherers[1]!);
+		const silent = catchCode(dataCentre.nonGatherer.write(createWrite('silent')));
 		await clock.tickAsync(2000);
 		expect(await silent).to.equal('unknown');
-		const lost = catchCode(room.plain.write(createWrite('lost')));
+		const lost = catchCode(dataCentre.nonGatherer.write(createWrite('lost')));
 		for (const gatherer of gatherers) {
-			room.plain.onLinkDown(gatherer);
+			dataCentre.nonGatherer.onLinkDown(gatherer);
 		}
 
 		expect(await lost).to.equal('unknown');
 	});
 
-	it('says that nothing was written while the store is down, and writes only claims for others', async () => {
-		const room = new Room(10);
-		const foreign = catchCode(room.plain.write(createWrite('k', 'a', 'configuration')));
+	it('reports that nothing was written while the store is down, and writes only claims for other entries', async () => {
+		const dataCentre = new FakeDataCentre(10);
+		const foreign = catchCode(dataCentre.nonGatherer.write(createWrite('k', 'a', 'configuration')));
 		await clock.tickAsync(10);
 		expect(await foreign).to.equal('unavailable');
-		room.tables.faults.standing = 'down';
-		const down = catchCode(room.plain.write(createWrite('k')));
+		dataCentre.tables.faults.standing = 'down';
+		const down = catchCode(dataCentre.nonGatherer.write(createWrite('k')));
 		await clock.tickAsync(300);
 		expect(await down).to.equal('unavailable');
-		expect(room.tables.rows.size).to.equal(0);
+		expect(dataCentre.tables.rows.size).to.equal(0);
 	});
 });
--- a/packages/systems/__tests__/configuration-adopter.spec.ts
+++ b/packages/systems/__tests__/configuration-adopter.spec.ts
@@ -10,7 +10,7 @@
 	return {profiles: {}, services: Object.fromEntries(Array.from({length: count}, (_, index) => [`ledger-${index}`, {kind: 'plain'}]))};
 }
 
-/** Entries and agents joined by links that can be cut; messages arrive in order, one at a time. */
+/** Simulates entries and agents connected by links that can be cut; messages arrive in order, one at a time. */
 class Mesh {
 	readonly tables = new FaultyTables(new Faults());
 	readonly history = new ConfigurationHistory(this.tables);
@@ -89,7 +89,7 @@
 	}
 }
 
-/** Entries that share agents in a ring, so that every process is a few links from every other. */
+/** Creates entries and agents linked in a ring, in which each process has links to two others. */
 function createRing(entries: number): Mesh {
 	const mesh = new Mesh();
 	for (let i = 0; i < entries; i += 1) {
@@ -116,7 +116,7 @@
 		clock.uninstall();
 	});
 
-	it('brings a change into force everywhere, as a delta that enters each process once', async () => {
+	it('adopts a change in every process, sent as deltas', async () => {
 		const mesh = createRing(10);
 		await mesh.change(40);
 		await mesh.tick();
@@ -132,7 +132,7 @@
 		expect(Object.keys((deltas[0] as {delta: {services: Record<string, unknown>}}).delta.services)).to.deep.equal(['ledger-40']);
 	});
 
-	it('is read by a few entries of a data centre once they are ready', async () => {
+	it('reads the record in only a few entries of a data centre once they are ready', async () => {
 		const mesh = createRing(10);
 		await mesh.change(1);
 		await mesh.tick();
@@ -141,7 +141,7 @@
 		expect(mesh.tables.faults.reads - before).to.equal(3);
 	});
 
-	it('takes the highest of its peers when it starts without the store', async () => {
+	it('adopts the highest version of its peers when it starts without the store', async () => {
 		const mesh = createRing(3);
 		await mesh.change(1);
 		await mesh.tick();
@@ -155,7 +155,7 @@
 		expect(late.describe().isStoreReachable).to.be.false;
 	});
 
-	it('sends the whole once to a process that starts', async () => {
+	it('sends the full configuration once to a process that starts', async () => {
 		const mesh = createRing(3);
 		await mesh.change(1);
 		await mesh.tick();
@@ -165,7 +165,7 @@
 		expect(mesh.sent.map(({kind}) => kind)).to.deep.equal(['digest', 'digest', 'configuration']);
 	});
 
-	it('never adopts a lower version, from a peer or from a store that was set back', async () => {
+	it('never adopts a lower version, from a peer or from a store that was reset', async () => {
 		const mesh = createRing(2);
 		await mesh.change(1);
 		const old = await mesh.history.readHead();
@@ -177,7 +177,7 @@
 		expect(mesh.listVersions()).to.deep.equal([2, 2, 2, 2]);
 	});
 
-	it('asks for the whole when a delta does not fit', () => {
+	it('requests the full configuration when a delta cannot be applied', () => {
 		const mesh = createRing(2);
 		const adopter = mesh.adopters.get('entry-0')!;
 		const delta = {
@@ -188,7 +188,7 @@
 		expect(adopter.accepted.version).to.equal(0);
 	});
 
-	it('serves on in a side that is parted from the store, and catches up', async () => {
+	it('keeps its version in a partition without the store, and catches up afterwards', async () => {
 		const mesh = new Mesh();
 		for (const name of ['entry-0', 'entry-1', 'agent-0', 'agent-1']) {
 			mesh.add(name, name.startsWith('entry'));
@@ -210,12 +210,12 @@
 		expect(mesh.listVersions()).to.deep.equal([2, 2, 2, 2]);
 	});
 
-	it('goes forward only and ends alike, through cuts, outages and restarts', async () => {
-		const act = fc.record({
+	it('never goes back and converges, despite cut links, outages and restarts', async () => {
+		const action = fc.record({
 			kind: fc.constantFrom('cut', 'connect', 'down', 'up', 'change', 'lost', 'restart', 'tick'),
 			at: fc.integer({min: 0, max: 4}),
 		});
-		await fc.assert(fc.asyncProperty(fc.array(act, {maxLength: 30}), async acts => {
+		await fc.assert(fc.asyncProperty(fc.array(action, {maxLength: 30}), async actions => {
 			const mesh = createRing(5);
 			let services = 0;
 			const handlers: Record<string, (at: number) => Promise<void> | void> = {
@@ -232,7 +232,7 @@
 					mesh.tables.faults.standing = 'none';
 				},
 				async change() {
-					// Some changes take services away.
+					// Some changes remove services.
 					services = services === 3 ? 1 : services + 1;
 					await mesh.change(services).catch(() => undefined);
 				},
@@ -246,7 +246,7 @@
 				},
 				tick: async () => mesh.tick(),
 			};
-			for (const {kind, at} of acts) {
+			for (const {kind, at} of actions) {
 				// eslint-disable-next-line no-await-in-loop
 				await handlers[kind]!(at);
 				// eslint-disable-next-line no-await-in-loop
--- a/packages/systems/__tests__/configuration-spread.spec.ts
+++ b/packages/systems/__tests__/configuration-spread.spec.ts
@@ -6,44 +6,46 @@
 import {ConfigurationAdopter, Invariants, type ConfigurationOutput} from '../src/index.js';
 
 const dataCentres = ['tomakomai', 'muroran', 'ishikari'];
-const entriesEach = 8;
-const agentsEach = 26;
+const entriesPerDataCentre = 8;
+const agentsPerDataCentre = 26;
 
-/** Agents of its own data centre that an entry has a link to, and of each other one. */
-const linksAtHome = 8;
-const linksAway = 1;
+/** Number of links from an entry to agents of its own data centre. */
+const localLinks = 8;
+
+/** Number of links from an entry to agents of each other data centre. */
+const remoteLinks = 1;
 
 /** One-way delay of a link, in milliseconds. */
 const linkMs = 1.5;
 
 const configuration: Configuration = {profiles: {}, services: {}};
 
-/** A hundred processes in three data centres, each with a tick of its own. */
-class Spread {
+/** Simulates about a hundred processes in three data centres, whose ticks start at different times. */
+class FakeNetwork {
 	readonly tables = new FaultyTables(new Faults());
 	readonly history = new ConfigurationHistory(this.tables);
-	/** When each process had a version in force, in milliseconds. */
-	readonly inForceAt = new Map<string, number>();
+	/** When each process adopted a version, on the monotonic clock. */
+	readonly adoptedAt = new Map<string, number>();
 	bytes = 0;
 	readonly #adopters = new Map<string, ConfigurationAdopter>();
 	readonly #random = new Random(1);
 
 	constructor() {
 		for (const dataCentre of dataCentres) {
-			const entries = listNames(`${dataCentre}-entry`, entriesEach);
+			const entries = listNames(`${dataCentre}-entry`, entriesPerDataCentre);
 			for (const name of entries) {
 				this.#add(name, dataCentre, () => entries);
 			}
 
-			for (const name of listNames(`${dataCentre}-agent`, agentsEach)) {
+			for (const name of listNames(`${dataCentre}-agent`, agentsPerDataCentre)) {
 				this.#add(name, dataCentre);
 			}
 		}
 
 		for (const dataCentre of dataCentres) {
-			for (const entry of listNames(`${dataCentre}-entry`, entriesEach)) {
+			for (const entry of listNames(`${dataCentre}-entry`, entriesPerDataCentre)) {
 				for (const other of dataCentres) {
-					this.#connect(entry, listNames(`${other}-agent`, agentsEach), other === dataCentre ? linksAtHome : linksAway);
+					this.#connect(entry, listNames(`${other}-agent`, agentsPerDataCentre), other === dataCentre ? localLinks : remoteLinks);
 				}
 			}
 		}
@@ -63,7 +65,7 @@
 			invariants: new Invariants(log),
 			reader: listEntries && {history: this.history, listEntries},
 			onAdopted: () => {
-				this.inForceAt.set(name, performance.now());
+				this.adoptedAt.set(name, performance.now());
 			},
 		});
 		this.#adopters.set(name, adopter);
@@ -102,7 +104,7 @@
 	return values.toSorted((a, b) => a - b)[Math.ceil(values.length * fraction) - 1]!;
 }
 
-describe('a configuration on its way to a hundred processes', () => {
+describe('ConfigurationAdopter with a hundred processes', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -113,25 +115,25 @@
 		clock.uninstall();
 	});
 
-	it('is in force everywhere well within 8 s', async () => {
-		const spread = new Spread();
+	it('adopts a change in every process well within 8 s', async () => {
+		const network = new FakeNetwork();
 		await clock.tickAsync(10_000);
 		const delays: number[] = [];
 		for (let change = 0; change < 20; change += 1) {
-			spread.inForceAt.clear();
+			network.adoptedAt.clear();
 			const changedAt = performance.now();
 			// eslint-disable-next-line no-await-in-loop
-			await spread.history.append({configuration, author: 'test', acceptedAt: 1});
+			await network.history.append({configuration, author: 'test', acceptedAt: 1});
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(2170);
-			expect(spread.inForceAt.size).to.equal(spread.size);
-			delays.push(...[...spread.inForceAt.values()].map(at => at - changedAt));
+			expect(network.adoptedAt.size).to.equal(network.size);
+			delays.push(...[...network.adoptedAt.values()].map(at => at - changedAt));
 		}
 
-		expect(spread.size).to.equal(102);
+		expect(network.size).to.equal(102);
 		expect(findPercentile(delays, 0.5)).to.be.at.most(80);
 		expect(findPercentile(delays, 0.99)).to.be.at.most(390);
-		// A process sends less than 200 bytes a second, of messages as JSON, at one change in 2.2 s.
-		expect(spread.bytes / spread.size / (performance.now() / 1000)).to.be.below(200);
+		// With one change per 2.2 s, a process sends less than 200 bytes per second of JSON messages on average.
+		expect(network.bytes / network.size / (performance.now() / 1000)).to.be.below(200);
 	});
 });
--- a/packages/systems/__tests__/invariants.spec.ts
+++ b/packages/systems/__tests__/invariants.spec.ts
@@ -5,57 +5,57 @@
 
 const frame = {request: 'r', attempt: 2, sequence: 5};
 
-/** For each invariant an act that keeps it and one that breaks it. */
-const acts: Record<typeof invariantNames[number], {kept: (invariants: Invariants) => unknown; broken: (invariants: Invariants) => unknown}> = {
+/** For each invariant, a check that holds and one that is violated. */
+const checks: Record<typeof invariantNames[number], {holding: (invariants: Invariants) => unknown; violated: (invariants: Invariants) => unknown}> = {
 	'versions-named': {
-		kept: invariants => invariants.checkVersionsNamed({id: 's', tokens: 4, versions: [{version: 1, from: 0, to: 2}, {version: 2, from: 2, to: 4}]}),
-		broken: invariants => invariants.checkVersionsNamed({id: 's', tokens: 4, versions: [{version: 1, from: 0, to: 2}, {version: 2, from: 3, to: 4}]}),
+		holding: invariants => invariants.checkVersionsNamed({id: 's', tokens: 4, versions: [{version: 1, from: 0, to: 2}, {version: 2, from: 2, to: 4}]}),
+		violated: invariants => invariants.checkVersionsNamed({id: 's', tokens: 4, versions: [{version: 1, from: 0, to: 2}, {version: 2, from: 3, to: 4}]}),
 	},
 	fresh: {
-		kept: invariants => invariants.checkFresh({
+		holding: invariants => invariants.checkFresh({
 			id: 's', versionsBehind: 1, maxVersionsBehind: 1, secondsBehind: 9,
 		}),
-		broken: invariants => invariants.checkFresh({
+		violated: invariants => invariants.checkFresh({
 			id: 's', versionsBehind: 1, maxVersionsBehind: 1, secondsBehind: 9, maxSecondsBehind: 8,
 		}),
 	},
 	'delivered-once': {
-		kept: invariants => invariants.checkDeliveredOnce('s', false),
-		broken: invariants => invariants.checkDeliveredOnce('s', true),
+		holding: invariants => invariants.checkDeliveredOnce('s', false),
+		violated: invariants => invariants.checkDeliveredOnce('s', true),
 	},
 	'own-answer': {
-		kept: invariants => invariants.checkOwnAnswer(frame, {...frame}),
-		broken: invariants => invariants.checkOwnAnswer(frame, {...frame, attempt: 1}),
+		holding: invariants => invariants.checkOwnAnswer(frame, {...frame}),
+		violated: invariants => invariants.checkOwnAnswer(frame, {...frame, attempt: 1}),
 	},
 	'not-run-true': {
-		kept: invariants => invariants.checkRan('r', 'unknown', true) === 'unknown',
-		broken: invariants => invariants.checkRan('r', 'no', true) === 'no',
+		holding: invariants => invariants.checkRan('r', 'unknown', true) === 'unknown',
+		violated: invariants => invariants.checkRan('r', 'no', true) === 'no',
 	},
 	'at-most-once': {
-		kept: invariants => invariants.checkAtMostOnce('r', {isIdempotent: true, mayHaveRun: true}),
-		broken: invariants => invariants.checkAtMostOnce('r', {isIdempotent: false, mayHaveRun: true}),
+		holding: invariants => invariants.checkAtMostOnce('r', {isIdempotent: true, mayHaveRun: true}),
+		violated: invariants => invariants.checkAtMostOnce('r', {isIdempotent: false, mayHaveRun: true}),
 	},
 	'leaving-takes-nothing': {
-		kept: invariants => invariants.checkTakesWork('e', 100),
-		broken: invariants => invariants.checkTakesWork('e', 60_000),
+		holding: invariants => invariants.checkTakesWork('e', 100),
+		violated: invariants => invariants.checkTakesWork('e', 60_000),
 	},
 	'shutdown-cuts-nothing': {
-		kept: invariants => invariants.checkNothingCutOff(0),
-		broken: invariants => invariants.checkNothingCutOff(1),
+		holding: invariants => invariants.checkNothingCutOff(0),
+		violated: invariants => invariants.checkNothingCutOff(1),
 	},
 	'configuration-forward': {
-		kept: invariants => invariants.checkConfigurationForward(1, 2),
-		broken: invariants => invariants.checkConfigurationForward(2, 2),
+		holding: invariants => invariants.checkConfigurationForward(1, 2),
+		violated: invariants => invariants.checkConfigurationForward(2, 2),
 	},
 };
 
 describe('Invariants', () => {
 	for (const invariant of invariantNames) {
-		it(`withholds and counts what would break ${invariant}`, async () => {
+		it(`returns false and counts a violation of ${invariant}`, async () => {
 			const registry = new Registry();
 			const invariants = new Invariants(createSilentLog(), registry);
-			expect(acts[invariant].kept(invariants)).to.be.true;
-			expect(acts[invariant].broken(invariants)).to.be.false;
+			expect(checks[invariant].holding(invariants)).to.be.true;
+			expect(checks[invariant].violated(invariants)).to.be.false;
 			const metrics = await registry.metrics();
 			expect(metrics).to.contain(`wasabiusher_invariant_broken_total{invariant="${invariant}"} 1`);
 			expect(metrics.match(/_total\{.*\} 1/gv)).to.have.lengthOf(1);
--- a/packages/systems/__tests__/objective-metrics.spec.ts
+++ b/packages/systems/__tests__/objective-metrics.spec.ts
@@ -15,7 +15,7 @@
 		clock.uninstall();
 	});
 
-	it('shows each objective in force, with its target, events by window and time observed', async () => {
+	it('exposes each objective in force, with its target, events by window and observed time', async () => {
 		const registry = new Registry();
 		const ranger = profileSchema.parse({
 			class: 'interactive', idempotent: true, deadlineMs: 100, objective: {answeredInTime: 0.99},
--- a/packages/systems/__tests__/outage.spec.ts
+++ b/packages/systems/__tests__/outage.spec.ts
@@ -11,13 +11,13 @@
 
 const outageMs = 60_000;
 
-/** A minute before the outage, the outage, and a minute after. */
+/** Duration of a run, in milliseconds: a minute before the outage, the outage, and a minute after it. */
 const totalMs = 3 * outageMs;
 
-type Told = {sentAt: number; answeredMs?: number; ran?: string};
+type CallOutcome = {sentAt: number; answeredMs?: number; ran?: string};
 
-/** Posts a dip reading each 200 ms, each with a deadline, and counts what clerks are told. */
-async function postThrough(clock: Clock, world: World, deadlineMs: number): Promise<Told[]> {
+/** Submits a keyed call each 200 ms, each with a deadline, and records the outcomes. */
+async function submitDuringOutage(clock: Clock, world: World, deadlineMs: number): Promise<CallOutcome[]> {
 	const log = createSilentLog();
 	const claimed = new ClaimedCalls({
 		dispatcher: {
@@ -39,11 +39,11 @@
 		random: new Random(1),
 		log,
 	});
-	const told: Told[] = [];
+	const outcomes: CallOutcome[] = [];
 	for (let sentAt = 0; sentAt < totalMs; sentAt += 200) {
 		world.faults.standing = sentAt >= outageMs && sentAt < 2 * outageMs ? 'down' : 'none';
-		const posting: Told = {sentAt};
-		told.push(posting);
+		const outcome: CallOutcome = {sentAt};
+		outcomes.push(outcome);
 		claimed.submit({
 			id: `post-${sentAt}`,
 			service: 'ledger',
@@ -59,12 +59,12 @@
 		}, `post-${sentAt}`, {
 			onEvent({kind}) {
 				if (kind === 'finished') {
-					posting.answeredMs = performance.now() - sentAt;
+					outcome.answeredMs = performance.now() - sentAt;
 				}
 			},
 			onRestart: () => false,
 			onFailed({ran}) {
-				posting.ran = ran;
+				outcome.ran = ran;
 			},
 		});
 		// eslint-disable-next-line no-await-in-loop
@@ -72,10 +72,10 @@
 	}
 
 	await clock.tickAsync(60_000);
-	return told;
+	return outcomes;
 }
 
-describe('an outage of the store for 60 s', () => {
+describe('a 60 s outage of the store', () => {
 	let clock: Clock;
 	let world: World;
 
@@ -90,27 +90,27 @@
 		clock.uninstall();
 	});
 
-	it('costs postings with a deadline of 5 s only themselves, and none is doubtful', async () => {
-		const told = await postThrough(clock, world, 5000);
-		const answered = told.filter(({answeredMs}) => answeredMs !== undefined);
-		const refused = told.filter(({ran}) => ran === 'no');
-		expect([told.length, answered.length, refused.length]).to.deep.equal([900, 622, 278]);
+	it('refuses calls with a deadline of 5 s only during the outage, and leaves no outcome unknown', async () => {
+		const outcomes = await submitDuringOutage(clock, world, 5000);
+		const answered = outcomes.filter(({answeredMs}) => answeredMs !== undefined);
+		const refused = outcomes.filter(({ran}) => ran === 'no');
+		expect([outcomes.length, answered.length, refused.length]).to.deep.equal([900, 622, 278]);
 		expect(refused.every(({sentAt}) => sentAt >= outageMs && sentAt < 2 * outageMs)).to.be.true;
 	});
 
-	it('costs postings that can wait 90 s nothing but time', async () => {
-		const told = await postThrough(clock, world, 90_000);
-		expect(told.filter(({answeredMs}) => answeredMs === undefined)).to.be.empty;
-		const slowest = Math.max(...told.map(({answeredMs}) => answeredMs!));
+	it('only delays calls with a deadline of 90 s', async () => {
+		const outcomes = await submitDuringOutage(clock, world, 90_000);
+		expect(outcomes.filter(({answeredMs}) => answeredMs === undefined)).to.be.empty;
+		const slowest = Math.max(...outcomes.map(({answeredMs}) => answeredMs!));
 		expect(slowest).to.be.within(60_000, 62_000);
 	});
 
-	it('keeps no trainer waiting and loses no sample', async () => {
+	it('does not delay trainers and loses no sample', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.sampleMs = 1000;
 		const trainers = Array.from({length: 9}, () => new FakeTrainer());
 		for (const [index, trainer] of trainers.entries()) {
-			// A step each 20 s, three of them in the outage.
+			// One step per 20 s, three of them during the outage.
 			world.faults.standing = index >= 3 && index < 6 ? 'down' : 'none';
 			const opening = openHere(entry, createRequest({id: `step-${index}`}));
 			// eslint-disable-next-line no-await-in-loop
--- a/packages/systems/__tests__/placement-runner.spec.ts
+++ b/packages/systems/__tests__/placement-runner.spec.ts
@@ -6,7 +6,7 @@
 	PlacementRunner, type ControlledEndpoint, type ModelDemand, type OrderLease,
 } from '../src/index.js';
 
-/** Time that an order takes, in milliseconds. */
+/** Duration of an order, in milliseconds. */
 const orderMs = 2000;
 
 const versions = new Map([['hazard', 4], ['route', 7]]);
@@ -28,7 +28,7 @@
 	};
 }
 
-describe('placement runner', () => {
+describe('PlacementRunner', () => {
 	let clock: Clock;
 	let endpoints: ControlledEndpoint[];
 	let orders: Array<{agent: string; body: MessageOf<'order'>['body']}>;
@@ -51,8 +51,8 @@
 		clock.uninstall();
 	});
 
-	/** What a status shows once an order has been carried out. */
-	function putInForce(agent: string, body: MessageOf<'order'>['body']): void {
+	/** Updates an endpoint's status as if an order was carried out. */
+	function applyOrder(agent: string, body: MessageOf<'order'>['body']): void {
 		const endpoint = endpoints.find(other => other.agent === agent)!;
 		endpoint.status = createStatus(body.kind === 'load' ? [{model: body.model, version: body.version}] : []);
 	}
@@ -74,7 +74,7 @@
 					const hasFailed = failures > 0;
 					failures -= hasFailed ? 1 : 0;
 					if (!hasFailed) {
-						putInForce(agent, body);
+						applyOrder(agent, body);
 					}
 
 					runner.receive(agent, {
@@ -90,31 +90,31 @@
 	async function run(runner: PlacementRunner, seconds: number): Promise<void> {
 		for (let second = 0; second < seconds; second += 1) {
 			runner.tick();
-			// Ticks follow one another.
+			// Ticks run one after another.
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(1000);
 		}
 	}
 
-	function listHeld(): string[] {
+	function listHeldModels(): string[] {
 		return endpoints.map(({status}) => status.models.map(({model, version}) => `${model}@${version}`).join(' '));
 	}
 
-	it('gives engines to a model that is asked for, at its newest version, the old one taken first', async () => {
+	it('moves engines to a model in demand, at its newest version, and unloads the old model first', async () => {
 		waiting = [{model: 'route', requests: 24, interactive: 0}];
 		await run(createRunner(), 60);
-		expect(listHeld().filter(held => held === 'route@7')).to.have.lengthOf(3);
+		expect(listHeldModels().filter(held => held === 'route@7')).to.have.lengthOf(3);
 		expect(orders.slice(0, 2).map(({body}) => body.kind)).to.deep.equal(['unload', 'unload']);
 		expect(orders).to.have.lengthOf(6);
 	});
 
-	it('orders nothing while nothing is lacking', async () => {
+	it('sends no order while capacity is sufficient', async () => {
 		waiting = [{model: 'hazard', requests: 16, interactive: 4}];
 		await run(createRunner(), 60);
 		expect(orders).to.deep.equal([]);
 	});
 
-	it('leaves an engine alone that its operator gave several models', async () => {
+	it('does not change an engine that its operator has set up with several models', async () => {
 		for (const endpoint of endpoints) {
 			endpoint.status = createStatus([{model: 'hazard', version: 4}, {model: 'score', version: 1}]);
 		}
@@ -124,47 +124,47 @@
 		expect(orders).to.deep.equal([]);
 	});
 
-	it('gives no order without the lease', async () => {
+	it('sends no order without the lease', async () => {
 		isHeld = false;
 		waiting = [{model: 'route', requests: 24, interactive: 8}];
 		await run(createRunner(), 30);
 		expect(orders).to.deep.equal([]);
 	});
 
-	it('lets another holder end what one has begun', async () => {
+	it('lets another holder of the lease finish a change', async () => {
 		waiting = [{model: 'route', requests: 8, interactive: 8}];
 		const first = createRunner();
 		await run(first, 1);
 		isHeld = false;
 		await run(first, 3);
-		expect(listHeld()).to.include('');
+		expect(listHeldModels()).to.include('');
 		isHeld = true;
 		await run(createRunner(), 30);
-		expect(listHeld()).not.to.include('');
-		expect(listHeld()).to.include('route@7');
+		expect(listHeldModels()).not.to.include('');
+		expect(listHeldModels()).to.include('route@7');
 	});
 
-	it('leaves an endpoint alone that carries out another order', async () => {
+	it('does not change an endpoint with another pending order', async () => {
 		waiting = [{model: 'route', requests: 48, interactive: 8}];
 		busy = new Set(['agent-0']);
 		await run(createRunner(), 60);
 		expect(orders.filter(({agent}) => busy.has(agent))).to.deep.equal([]);
-		expect(listHeld()).to.include('route@7');
+		expect(listHeldModels()).to.include('route@7');
 	});
 
-	it('does not load a model of which there is no version', async () => {
+	it('does not load a model without a published version', async () => {
 		waiting = [{model: 'unpublished', requests: 24, interactive: 8}];
 		await run(createRunner(), 30);
 		expect(orders).to.deep.equal([]);
 	});
 
-	it('tries again later when a load fails', async () => {
+	it('retries later when a load fails', async () => {
 		waiting = [{model: 'route', requests: 8, interactive: 8}];
 		const runner = createRunner();
 		await run(runner, 3);
 		failures = 1;
 		await run(runner, 60);
-		expect(listHeld()).to.include('route@7');
+		expect(listHeldModels()).to.include('route@7');
 		expect(runner.moving).to.equal(0);
 	});
 });
--- a/packages/systems/__tests__/steps-decisions.spec.ts
+++ b/packages/systems/__tests__/steps-decisions.spec.ts
@@ -4,7 +4,7 @@
 import type {SlotFacts} from '../src/steps-slots.js';
 import {createRequest} from './steps-fixtures.js';
 
-/** A step of which all but one sample are done; that one runs slowly at `engine-0`. */
+/** Creates a step with all samples done but one, which runs slowly at `engine-0`. */
 function createLateStep(): SlotFacts[] {
 	return Array.from({length: 12}, (_, position) => ({
 		position,
@@ -30,17 +30,17 @@
 		clock.uninstall();
 	});
 
-	it('doubles the last, slow sample where another endpoint is idle', () => {
+	it('plans a second attempt at the last, slow sample if another endpoint is idle', () => {
 		const idle = [{id: 'engine-1', slots: 1, speed: 1}];
 		expect(new StepDecisions().planSecondAttempts(createRequest(), createLateStep(), idle)).to.deep.equal([5]);
 	});
 
-	it('doubles nothing where the only idle endpoint is the slow one itself', () => {
+	it('plans no second attempt if the only idle endpoint is the slow one itself', () => {
 		const idle = [{id: 'engine-0', slots: 1, speed: 1}];
 		expect(new StepDecisions().planSecondAttempts(createRequest(), createLateStep(), idle)).to.deep.equal([]);
 	});
 
-	it('doubles early what would outlast the rest of the step', () => {
+	it('plans an early second attempt at a sample that would outlast the rest of the step', () => {
 		const facts = createLateStep().map((slot, position) => {
 			const isRunning = position < 3;
 			return {
--- a/packages/systems/__tests__/steps-fixtures.ts
+++ b/packages/systems/__tests__/steps-fixtures.ts
@@ -9,48 +9,48 @@
 	Invariants, StepRunner, type Call, type CallListener, type Run, type Step, type StepRequest,
 } from '../src/index.js';
 
-/** The engines and the scorer behind any number of entries. */
+/** Simulates the engines and the scorer of any number of entries. */
 export class FakeEndpoints {
 	version = 1;
 	sampleMs = 100;
 	scoreMs = 10;
-	/** Generations that crash, by how often from now on. */
+	/** Number of upcoming generations that crash. */
 	crashes = 0;
-	/** Takes the place of the engine for a call; undefined leaves it to the engine. */
+	/** Overrides the outcome of a call; if it returns undefined, the simulated engine or scorer serves the call. */
 	treat: ((call: Call) => Problem | 'hang' | undefined) | undefined;
 	generated = 0;
-	/** Characters of a sample. */
+	/** Length of a sample's text, in characters. */
 	textLength = 2;
-	/** Ids of the samples that a scorer was asked about, by idempotency key. */
+	/** Number of requests that the scorer received, by idempotency key. */
 	readonly scored = new Map<string, number>();
-	/** Scores whose answer is lost, by how often from now on. */
+	/** Number of upcoming scores whose answer is lost. */
 	lostScores = 0;
 	running = 0;
-	/** Endpoints that a second attempt could go to. */
+	/** Endpoints available for a second attempt. */
 	idle: IdleEndpoint[] = [];
 
-	/** The dispatcher of one entry; a dead one's listeners hear nothing. */
+	/** Creates the dispatcher of one entry; after `kill` its listeners are not called. */
 	createDispatcher(): {submit(call: Call, listener: CallListener): Run; kill(): void} {
 		let isDead = false;
 		return {
 			submit: (call, listener) => {
-				let isOver = false;
-				const later = (ms: number, act: () => void) => {
+				let isEnded = false;
+				const schedule = (ms: number, action: () => void) => {
 					setTimeout(() => {
-						if (!isOver && !isDead) {
-							act();
+						if (!isEnded && !isDead) {
+							action();
 						}
 					}, ms);
 				};
 
 				this.running += 1;
 				const end = () => {
-					this.running -= isOver ? 0 : 1;
-					isOver = true;
+					this.running -= isEnded ? 0 : 1;
+					isEnded = true;
 				};
 
 				this.#serve(call, {
-					later, end, onEvent: listener.onEvent, onFailed: listener.onFailed,
+					schedule, end, onEvent: listener.onEvent, onFailed: listener.onFailed,
 				});
 				return {cancel: end};
 			},
@@ -60,7 +60,7 @@
 		};
 	}
 
-	#serve(call: Call, {later, end, onEvent, onFailed}: Served): void {
+	#serve(call: Call, {schedule, end, onEvent, onFailed}: CallHandle): void {
 		const treatment = this.treat?.(call);
 		if (treatment === 'hang') {
 			return;
@@ -71,21 +71,21 @@
 			onFailed(treatment);
 		} else if (call.work.kind === 'forward') {
 			this.#score(call, {
-				later, end, onEvent, onFailed,
+				schedule, end, onEvent, onFailed,
 			});
 		} else {
 			this.#generate({
-				later, end, onEvent, onFailed,
+				schedule, end, onEvent, onFailed,
 			});
 		}
 	}
 
-	#generate({later, end, onEvent, onFailed}: Served): void {
+	#generate({schedule, end, onEvent, onFailed}: CallHandle): void {
 		const first = this.version;
-		later(this.sampleMs / 2, () => {
+		schedule(this.sampleMs / 2, () => {
 			onEvent({kind: 'parts', parts: [{text: 'a', tokens: 1, version: first}]}, 1);
 		});
-		later(this.sampleMs, () => {
+		schedule(this.sampleMs, () => {
 			end();
 			if (this.crashes > 0) {
 				this.crashes -= 1;
@@ -99,10 +99,10 @@
 		});
 	}
 
-	#score({work}: Call, {later, end, onEvent, onFailed}: Served): void {
+	#score({work}: Call, {schedule, end, onEvent, onFailed}: CallHandle): void {
 		const key = work.kind === 'forward' ? work.headers['idempotency-key']! : '';
 		this.scored.set(key, (this.scored.get(key) ?? 0) + 1);
-		later(this.scoreMs, () => {
+		schedule(this.scoreMs, () => {
 			end();
 			if (this.lostScores > 0) {
 				this.lostScores -= 1;
@@ -117,18 +117,18 @@
 	}
 }
 
-type Served = Pick<CallListener, 'onEvent' | 'onFailed'> & {later(ms: number, act: () => void): void; end(): void};
+type CallHandle = Pick<CallListener, 'onEvent' | 'onFailed'> & {schedule(ms: number, action: () => void): void; end(): void};
 
 export type FakeEntry = {runner: StepRunner; registry: Registry; kill(): void};
 
-/** Entries over one store and one set of endpoints. */
+/** Simulates entries that share one store and one set of endpoints. */
 export class World {
 	readonly endpoints = new FakeEndpoints();
 	readonly faults = new Faults();
 	readonly tables = new FaultyTables(this.faults);
 	readonly objects = new FaultyObjects(this.faults);
 	readonly entries: FakeEntry[] = [];
-	/** Events counted for objectives: good ones, then bad ones. */
+	/** Events counted for each objective: number of good ones, number of bad ones. */
 	readonly objectives = {answeredInTime: [0, 0], trainerBusy: [0, 0], fresh: [0, 0]};
 
 	createEntry(name: string): FakeEntry {
@@ -191,16 +191,16 @@
 	};
 }
 
-/** The trainer's side: keeps what it received, and fails the test if a sample comes twice. */
+/** Simulates a trainer: records the samples received, and fails the test if one is delivered twice. */
 export class FakeTrainer {
 	readonly received = new Map<string, Sample>();
 	readonly failed: string[] = [];
 	cursor = '';
 	version = 1;
 	isWhole = false;
-	/** Lost on the way: these are written to the stream but never arrive. */
+	/** Number of upcoming deliveries that are written to the stream but lost. */
 	loses = 0;
-	/** Time it takes over each sample, in milliseconds. */
+	/** Time that the trainer takes to read each sample, in milliseconds. */
 	readMs = 0;
 
 	/** Pulls until the stream ends or the signal is aborted. */
@@ -223,7 +223,7 @@
 			}
 
 			if (delivery.kind === 'sample') {
-				expect(this.received.has(delivery.sample.id), `${delivery.sample.id} came twice`).to.be.false;
+				expect(this.received.has(delivery.sample.id), `${delivery.sample.id} was delivered twice`).to.be.false;
 				this.received.set(delivery.sample.id, delivery.sample);
 				this.cursor = delivery.cursor;
 			} else if (delivery.kind === 'failed') {
@@ -239,7 +239,7 @@
 export async function openHere({runner}: FakeEntry, request = createRequest()): Promise<Step> {
 	const placement = await runner.open(request);
 	if (placement.kind !== 'here') {
-		throw new Error(`the step is ${placement.kind}`);
+		throw new Error(`expected the step to be run here, got placement "${placement.kind}"`);
 	}
 
 	return placement.step;
@@ -248,7 +248,7 @@
 export async function locateHere({runner}: FakeEntry, options = {}, id = 'step-1'): Promise<Step> {
 	const placement = await runner.locate(id, options);
 	if (placement.kind !== 'here') {
-		throw new Error(`the step is ${placement.kind}`);
+		throw new Error(`expected the step to be run here, got placement "${placement.kind}"`);
 	}
 
 	return placement.step;
--- a/packages/systems/__tests__/steps.spec.ts
+++ b/packages/systems/__tests__/steps.spec.ts
@@ -27,7 +27,7 @@
 		clock.uninstall();
 	});
 
-	it('hands each sample over once, groups whole, and closes the step in the record', async () => {
+	it('delivers each sample once, in whole groups, and closes the step in the record', async () => {
 		const entry = world.createEntry('entry-0');
 		const step = await openHere(entry);
 		void trainer.pull(entry.runner, step);
@@ -36,25 +36,25 @@
 		expect(entry.runner.acknowledge(step, [...trainer.received.keys()])).to.be.undefined;
 		await clock.tickAsync(2000);
 		expect(step.describe().isWhole).to.be.true;
-		// Another entry finds it closed, and draws nothing.
+		// Another entry finds the step closed and draws no samples.
 		const other = world.createEntry('entry-1');
 		const again = await locateHere(other);
 		expect([again.isWhole, world.endpoints.generated]).to.deep.equal([true, 12]);
 	});
 
-	it('holds a group back until all of it is there', async () => {
+	it('holds a group back until all its samples are ready', async () => {
 		const entry = world.createEntry('entry-0');
-		let hanging = true;
-		world.endpoints.treat = ({id}) => hanging && id.startsWith('step-1/1/2#') ? createProblem('overloaded', 'full', 'no', 1000) : undefined;
+		let isRefused = true;
+		world.endpoints.treat = ({id}) => isRefused && id.startsWith('step-1/1/2#') ? createProblem('overloaded', 'full', 'no', 1000) : undefined;
 		void trainer.pull(entry.runner, await openHere(entry));
 		await clock.tickAsync(1000);
 		expect(new Set([...trainer.received.values()].map(({group}) => group))).to.deep.equal(new Set([0, 2]));
-		hanging = false;
+		isRefused = false;
 		await clock.tickAsync(4000);
 		expect(trainer.isWhole).to.be.true;
 	});
 
-	it('is the same step when posted again, and a conflict with another body', async () => {
+	it('returns the same step when it is posted again, and refuses other content as a conflict', async () => {
 		const entry = world.createEntry('entry-0');
 		const step = await openHere(entry);
 		expect(await openHere(entry)).to.equal(step);
@@ -79,7 +79,7 @@
 		}
 	});
 
-	it('goes on from the record when its entry dies, without a gap or a double', async () => {
+	it('continues from the record when its entry crashes, without missing or duplicate samples', async () => {
 		const [first, second] = [world.createEntry('entry-0'), world.createEntry('entry-1')];
 		world.endpoints.treat = ({id}) => id.startsWith('step-1/2/') ? 'hang' : undefined;
 		void trainer.pull(first.runner, await openHere(first)).catch(() => undefined);
@@ -96,7 +96,7 @@
 		expect(world.endpoints.generated).to.equal(12);
 	});
 
-	it('hands over again what a lost connection took with it', async () => {
+	it('redelivers samples that were lost with a connection', async () => {
 		const entry = world.createEntry('entry-0');
 		const step = await openHere(entry);
 		await clock.tickAsync(500);
@@ -107,7 +107,7 @@
 		expect([trainer.received.size, trainer.isWhole]).to.deep.equal([12, true]);
 	});
 
-	it('misses nothing that gets ready while the trainer reads', async () => {
+	it('delivers samples that become ready while the trainer reads', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.treat = ({id}) => id.startsWith('step-1/2/') && performance.now() < 100 ? createProblem('overloaded', 'full', 'no') : undefined;
 		trainer.readMs = 300;
@@ -116,19 +116,19 @@
 		expect(trainer.isWhole).to.be.true;
 	});
 
-	it('ends the earlier pull when the trainer pulls anew', async () => {
+	it('ends the earlier pull when the trainer starts another one', async () => {
 		const entry = world.createEntry('entry-0');
 		const step = await openHere(entry);
 		const silent = trainer.pull(entry.runner, step);
 		await clock.tickAsync(10);
-		const anew = new FakeTrainer();
-		void anew.pull(entry.runner, step);
+		const secondTrainer = new FakeTrainer();
+		void secondTrainer.pull(entry.runner, step);
 		await silent;
 		await clock.tickAsync(500);
-		expect([trainer.received.size, anew.received.size]).to.deep.equal([0, 12]);
+		expect([trainer.received.size, secondTrainer.received.size]).to.deep.equal([0, 12]);
 	});
 
-	it('delivers while the store is down, to a trainer that comes to another entry too', async () => {
+	it('delivers while the store is down, also to a trainer that moves to another entry', async () => {
 		const [first, second] = [world.createEntry('entry-0'), world.createEntry('entry-1')];
 		world.endpoints.treat = ({id}) => id.startsWith('step-1/2/') ? 'hang' : undefined;
 		void trainer.pull(first.runner, await openHere(first)).catch(() => undefined);
@@ -149,7 +149,7 @@
 		expect(step.describe().isRecorded).to.be.true;
 	});
 
-	it('does not wait for a store that is silent', async () => {
+	it('does not wait for a store that does not answer', async () => {
 		const entry = world.createEntry('entry-0');
 		world.faults.delayMs = 60_000;
 		const opening = openHere(entry);
@@ -159,7 +159,7 @@
 		expect(trainer.isWhole).to.be.true;
 	});
 
-	it('does not wait for recorded samples that are slow to come', async () => {
+	it('does not wait for recorded samples that take long to read', async () => {
 		const [first, second] = [world.createEntry('entry-0'), world.createEntry('entry-1')];
 		await openHere(first);
 		await clock.tickAsync(3000);
@@ -174,14 +174,14 @@
 		expect([trainer.isWhole, world.endpoints.generated]).to.deep.equal([true, 24]);
 	});
 
-	it('begins no more groups for a trainer that acknowledges nothing, and goes on with others', async () => {
+	it('starts no more groups for a trainer that does not acknowledge, and continues with others', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.textLength = 2 ** 21;
 		world.faults.standing = 'down';
 		const request = createRequest({groups: Array.from({length: 600}, () => ({prompt: 'a'})), groupSize: 2});
 		const step = await openHere(entry, request);
 		await clock.tickAsync(1000);
-		// All that may be under way at once, and what the first eight made room for before they were too much to hold.
+		// The maximum of 1,024 concurrent attempts, and the eight started as the first eight finished, before the held text reached its limit.
 		expect(step.describe().ready).to.equal(1024 + 8);
 		expect(await openHere(entry, createRequest({id: 'step-2', trainer: 'route'}))).to.have.property('outstanding', 12);
 		entry.runner.acknowledge(step, Array.from({length: 513}, (_, group) => [`step-1/${group}/0`, `step-1/${group}/1`]).flat());
@@ -189,7 +189,7 @@
 		expect(step.describe()).to.include({ready: 174, acknowledged: 1026});
 	});
 
-	it('refuses more steps than it can hold', async () => {
+	it('refuses steps above its limit of open steps', async () => {
 		const entry = world.createEntry('entry-0');
 		const request = createRequest({groups: [{prompt: 'a'}], groupSize: 1});
 		for (let i = 0; i < 256; i += 1) {
@@ -201,7 +201,7 @@
 		expect(refused.kind === 'refused' && [refused.problem.kind, refused.problem.ran]).to.deep.equal(['overloaded', 'no']);
 	});
 
-	it('commits in few writes, through lost answers', async () => {
+	it('commits samples in few writes, despite lost answers', async () => {
 		const entry = world.createEntry('entry-0');
 		world.faults.delayMs = 5;
 		const request = createRequest({groups: Array.from({length: 64}, () => ({prompt: 'a'})), groupSize: 8});
@@ -220,7 +220,7 @@
 		expect(world.faults.writes).to.be.at.most(20);
 	});
 
-	it('draws what is stale for the trainer\'s version again, and hands over nothing staler than its bound', async () => {
+	it('redraws samples that are stale for the trainer\'s version, and delivers none beyond its staleness limit', async () => {
 		const entry = world.createEntry('entry-0');
 		const step = await openHere(entry);
 		await clock.tickAsync(500);
@@ -232,7 +232,7 @@
 		expect([...trainer.received.values()].every(({versions}) => versions[0]!.version >= 2)).to.be.true;
 	});
 
-	it('stops what has turned stale while it is made', async () => {
+	it('cancels attempts that become stale while they run', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.sampleMs = 1000;
 		const step = await openHere(entry);
@@ -246,7 +246,7 @@
 		expect([trainer.isWhole, world.endpoints.generated]).to.deep.equal([true, 12]);
 	});
 
-	it('does not draw what could not be handed over, until endpoints have the version', async () => {
+	it('draws no samples that could not be delivered, until endpoints have a fresh enough version', async () => {
 		const entry = world.createEntry('entry-0');
 		const step = await openHere(entry);
 		await clock.tickAsync(500);
@@ -259,7 +259,7 @@
 		expect(trainer.isWhole).to.be.true;
 	});
 
-	it('begins the next step only as far as its bound allows', async () => {
+	it('starts a following step only if its staleness limit allows it', async () => {
 		const entry = world.createEntry('entry-0');
 		void trainer.pull(entry.runner, await openHere(entry));
 		await clock.tickAsync(50);
@@ -281,7 +281,7 @@
 		expect(ahead.isWhole).to.be.true;
 	});
 
-	it('judges age in seconds since the oldest part was superseded', async () => {
+	it('measures age in seconds since the version of the oldest part was superseded', async () => {
 		const entry = world.createEntry('entry-0');
 		const profile = profileSchema.parse({
 			class: 'rollout', idempotent: true, deadlineMs: 10_000, freshness: {versions: 5, seconds: 10},
@@ -298,7 +298,7 @@
 		expect([trainer.isWhole, world.endpoints.generated]).to.deep.equal([true, 24]);
 	});
 
-	it('names each version that made a part', async () => {
+	it('records each version that generated a part', async () => {
 		const entry = world.createEntry('entry-0');
 		void trainer.pull(entry.runner, await openHere(entry));
 		await clock.tickAsync(60);
@@ -307,7 +307,7 @@
 		expect(trainer.received.get('step-1/0/0')!.versions).to.deep.equal([{version: 1, from: 0, to: 1}, {version: 2, from: 1, to: 2}]);
 	});
 
-	it('draws again what crashed, and tells of what can not be made', async () => {
+	it('redraws crashed samples, and reports samples that cannot be made', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.crashes = 3;
 		world.endpoints.treat = ({id}) => id.startsWith('step-1/1/0#') ? createProblem('quarantined', 'crashes endpoints', 'no') : undefined;
@@ -316,7 +316,7 @@
 		expect([trainer.received.size, trainer.failed, trainer.isWhole]).to.deep.equal([11, ['step-1/1/0'], true]);
 	});
 
-	it('takes the first of two attempts and stops the other', async () => {
+	it('uses the first of two attempts to finish and cancels the other', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.idle = [{id: 'idle', slots: 8, speed: 0.02}];
 		world.endpoints.treat = ({id}) => id.startsWith('step-1/0/0#') && id.endsWith('-1') ? 'hang' : undefined;
@@ -325,7 +325,7 @@
 		expect([trainer.isWhole, trainer.received.get('step-1/0/0')!.attempt, world.endpoints.running]).to.deep.equal([true, 2, 0]);
 	});
 
-	it('scores each sample once before hand-over, and settles a lost answer under the same key', async () => {
+	it('scores each sample once before delivery, and recovers a lost answer under the same key', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.lostScores = 1;
 		void trainer.pull(entry.runner, await openHere(entry, createRequest({profile: scoredProfile})));
@@ -334,7 +334,7 @@
 		expect([...world.endpoints.scored.values()].toSorted((a, b) => a - b)).to.deep.equal([...Array.from({length: 11}, () => 1), 2]);
 	});
 
-	it('hands over unscored, and says so, when the scorer takes too long', async () => {
+	it('delivers samples without a score, with the reason, when the scorer takes too long', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.treat = ({work, deadlineAt}) => work.kind === 'forward' && deadlineAt > 0 ? createProblem('overloaded', 'the scorer is full', 'no') : undefined;
 		void trainer.pull(entry.runner, await openHere(entry, createRequest({profile: scoredProfile})));
@@ -353,7 +353,7 @@
 		expect(metrics).to.contain('wasabiusher_sample_staleness_versions_count 12');
 	});
 
-	it('counts trainers\' time and what was finished in vain for the objectives', async () => {
+	it('counts trainers\' time and samples discarded as stale for the objectives', async () => {
 		const entry = world.createEntry('entry-0');
 		const step = await openHere(entry);
 		await clock.tickAsync(200);
@@ -366,22 +366,22 @@
 		void new FakeTrainer().pull(entry.runner, next);
 		await clock.tickAsync(1000);
 		expect(world.objectives.fresh).to.deep.equal([24, 12]);
-		// It waits for 100 ms, is busy with the first step for 2 s, and finds the second one ready.
+		// The trainer waits for 100 ms, is busy with the first step for 2 s, and then finds the second one ready.
 		expect(world.objectives.trainerBusy.map(ms => Math.round(ms))).to.deep.equal([2700, 100]);
 	});
 
-	it('counts no time of a trainer that went away', async () => {
+	it('counts no time of a trainer that disconnected', async () => {
 		const entry = world.createEntry('entry-0');
 		world.endpoints.treat = () => 'hang';
-		const gone = new AbortController();
-		void trainer.pull(entry.runner, await openHere(entry), gone.signal);
+		const disconnect = new AbortController();
+		void trainer.pull(entry.runner, await openHere(entry), disconnect.signal);
 		await clock.tickAsync(300);
-		gone.abort();
+		disconnect.abort();
 		await clock.tickAsync(5000);
 		expect(world.objectives.trainerBusy.map(ms => Math.round(ms))).to.deep.equal([0, 300]);
 	});
 
-	it('finishes what is under way and hands the step on when its entry leaves', async () => {
+	it('finishes running attempts and releases the step when its entry shuts down', async () => {
 		const [first, second] = [world.createEntry('entry-0'), world.createEntry('entry-1')];
 		const step = await openHere(first);
 		const pulling = trainer.pull(first.runner, step);
@@ -397,7 +397,7 @@
 		expect([trainer.isWhole, world.endpoints.generated]).to.deep.equal([true, 12]);
 	});
 
-	it('lets go of a step that another entry owns and that nobody pulls here', async () => {
+	it('drops a step that another entry owns and that no trainer pulls here', async () => {
 		const [first, second] = [world.createEntry('entry-0'), world.createEntry('entry-1')];
 		await openHere(first);
 		await clock.tickAsync(10);
@@ -406,7 +406,7 @@
 		expect([first.runner.openSteps, second.runner.openSteps]).to.deep.equal([1, 0]);
 	});
 
-	it('delivers each sample exactly once and fresh, whatever fails', async () => {
+	it('delivers each sample exactly once and fresh under random failures', async () => {
 		const act = fc.record({
 			kind: fc.constantFrom('pull', 'lose', 'kill', 'version', 'fault', 'standing', 'crash', 'ack'),
 			at: fc.integer({min: 0, max: 2}),
@@ -414,14 +414,14 @@
 			passMs: fc.constantFrom(0, 60, 400, 3000, 9000),
 		});
 		await fc.assert(fc.asyncProperty(fc.array(act, {maxLength: 20}), async acts => {
-			const town = new World();
-			const entries = ['entry-0', 'entry-1', 'entry-2'].map(name => town.createEntry(name));
+			const randomWorld = new World();
+			const entries = ['entry-0', 'entry-1', 'entry-2'].map(name => randomWorld.createEntry(name));
 			const consumer = new FakeTrainer();
-			let gone = new AbortController();
+			let disconnect = new AbortController();
 			const pull = async (at: number) => {
-				gone.abort();
-				gone = new AbortController();
-				const {signal} = gone;
+				disconnect.abort();
+				disconnect = new AbortController();
+				const {signal} = disconnect;
 				const {runner} = entries[at]!;
 				let placement = await runner.open(createRequest());
 				if (placement.kind === 'elsewhere') {
@@ -448,20 +448,20 @@
 				kill({at}) {
 					entries[at]!.kill();
 					dead.add(entries[at]!);
-					entries[at] = town.createEntry(`entry-${at}`);
+					entries[at] = randomWorld.createEntry(`entry-${at}`);
 				},
 				version() {
-					town.endpoints.version += 1;
-					consumer.version = town.endpoints.version;
+					randomWorld.endpoints.version += 1;
+					consumer.version = randomWorld.endpoints.version;
 				},
 				fault({fault}) {
-					town.faults.next = [fault, fault];
+					randomWorld.faults.next = [fault, fault];
 				},
 				standing({fault}) {
-					town.faults.standing = fault === 'down' ? 'down' : 'none';
+					randomWorld.faults.standing = fault === 'down' ? 'down' : 'none';
 				},
 				crash({at}) {
-					town.endpoints.crashes = at;
+					randomWorld.endpoints.crashes = at;
 				},
 				ack({at}) {
 					void entries[at]!.runner.locate('step-1').then(placement => {
@@ -477,8 +477,8 @@
 				await clock.tickAsync(passMs);
 			}
 
-			town.faults.standing = 'none';
-			town.faults.next = [];
+			randomWorld.faults.standing = 'none';
+			randomWorld.faults.next = [];
 			for (let i = 0; i < 12 && !consumer.isWhole; i += 1) {
 				consumer.loses = 0;
 				void pull(i % 3);
@@ -487,12 +487,12 @@
 			}
 
 			expect([consumer.received.size, consumer.isWhole]).to.deep.equal([12, true]);
-			for (const {registry} of town.entries) {
+			for (const {registry} of randomWorld.entries) {
 				// eslint-disable-next-line no-await-in-loop
 				expect(await registry.metrics()).not.to.match(/invariant_broken_total\{.*\} [1-9]/v);
 			}
 
-			town.stop();
+			randomWorld.stop();
 		}), {numRuns: 100, seed: 1});
 	});
 });
--- a/packages/systems/__tests__/weight-rollout.spec.ts
+++ b/packages/systems/__tests__/weight-rollout.spec.ts
@@ -5,31 +5,33 @@
 import {createSilentLog} from '@wasabiusher/shared';
 import {WeightRollout, type ControlledEndpoint, type OrderLease} from '../src/index.js';
 
-/** Time of a fetch and of a swap, in milliseconds. */
+/** Duration of a fetch, in milliseconds. */
 const fetchMs = 2000;
+
+/** Duration of a swap, in milliseconds. */
 const swapMs = 1500;
 
-/** Within this all endpoints must have a new version, in milliseconds. */
-const boundMs = 17_000;
+/** Maximum time until all endpoints have a new version, in milliseconds. */
+const limitMs = 17_000;
 
 const firstLease: OrderLease = {fence: 1, holds: () => true};
 
-type FakeEndpoint = ControlledEndpoint & {isSwapping: boolean; failures: number; canFetch: boolean; isMute: boolean; highest: number};
+type FakeEndpoint = ControlledEndpoint & {isSwapping: boolean; failures: number; canFetch: boolean; isUnresponsive: boolean; highestFence: number};
 
-/** Endpoints that carry out orders in their time, at the interface of the links. */
+/** Simulates endpoints that carry out orders with realistic delays, behind the interface of the links. */
 class FakePool {
 	readonly endpoints = new Map<string, FakeEndpoint>();
 	readonly sent: Array<{agent: string; message: MessageOf<'order'>}> = [];
 	readonly rollouts = new Set<WeightRollout>();
-	mostOut = 0;
-	mostFetching = 0;
+	maxSwapping = 0;
+	maxFetching = 0;
 	#fetching = 0;
 
 	constructor(count: number, interactive = 0) {
 		for (let index = 0; index < count; index += 1) {
 			const agent = `agent-${index}`;
 			this.endpoints.set(agent, {
-				agent, isUp: true, isSwapping: false, failures: 0, canFetch: true, isMute: false, highest: 0, status: createStatus(interactive),
+				agent, isUp: true, isSwapping: false, failures: 0, canFetch: true, isUnresponsive: false, highestFence: 0, status: createStatus(interactive),
 			});
 		}
 	}
@@ -52,19 +54,19 @@
 
 	async #carryOut(endpoint: FakeEndpoint, {order, fence, body}: MessageOf<'order'>): Promise<void> {
 		const answer = (outcome: MessageOf<'ordered'>['outcome'], detail = '') => {
-			for (const rollout of endpoint.isMute ? [] : this.rollouts) {
+			for (const rollout of endpoint.isUnresponsive ? [] : this.rollouts) {
 				rollout.receive(endpoint.agent, {
 					kind: 'ordered', order, outcome, detail,
 				});
 			}
 		};
 
-		if (fence < endpoint.highest) {
+		if (fence < endpoint.highestFence) {
 			answer('fenced');
 			return;
 		}
 
-		endpoint.highest = fence;
+		endpoint.highestFence = fence;
 		if (body.kind === 'prefetch') {
 			await this.#fetch();
 			answer(endpoint.canFetch ? 'done' : 'failed', 'unknown order');
@@ -75,14 +77,14 @@
 
 	async #fetch(): Promise<void> {
 		this.#fetching += 1;
-		this.mostFetching = Math.max(this.mostFetching, this.#fetching);
+		this.maxFetching = Math.max(this.maxFetching, this.#fetching);
 		await wait(fetchMs);
 		this.#fetching -= 1;
 	}
 
 	async #swap(endpoint: FakeEndpoint, version: number): Promise<boolean> {
 		endpoint.isSwapping = true;
-		this.mostOut = Math.max(this.mostOut, [...this.endpoints.values()].filter(({isSwapping}) => isSwapping).length);
+		this.maxSwapping = Math.max(this.maxSwapping, [...this.endpoints.values()].filter(({isSwapping}) => isSwapping).length);
 		await wait(swapMs);
 		endpoint.isSwapping = false;
 		if (endpoint.failures > 0) {
@@ -119,7 +121,7 @@
 	});
 }
 
-describe('weight rollout', () => {
+describe('WeightRollout', () => {
 	let clock: Clock;
 	let published: number;
 	let isStoreDown: boolean;
@@ -151,20 +153,20 @@
 		return rollout;
 	}
 
-	function isEverywhere(pool: FakePool): boolean {
+	function isRolledOut(pool: FakePool): boolean {
 		return pool.versions.every(version => version === published);
 	}
 
-	/** Runs ticks for a time; resolves to the milliseconds until all had the version, if they had. */
-	async function run(pool: FakePool, rollout: WeightRollout, timeMs = boundMs): Promise<number | undefined> {
+	/** Runs ticks for `timeMs`; resolves to the time until all endpoints had the version, in milliseconds, or to undefined if they did not get it. */
+	async function run(pool: FakePool, rollout: WeightRollout, timeMs = limitMs): Promise<number | undefined> {
 		let doneMs: number | undefined;
 		for (let elapsedMs = 0; elapsedMs < timeMs; elapsedMs += 250) {
-			// Ticks follow one another.
+			// Ticks run one after another.
 			// eslint-disable-next-line no-await-in-loop
 			await rollout.tick();
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(250);
-			if (isEverywhere(pool)) {
+			if (isRolledOut(pool)) {
 				doneMs ??= elapsedMs + 250;
 			}
 		}
@@ -172,25 +174,25 @@
 		return doneMs;
 	}
 
-	it('brings all endpoints to the newest version in time, few at once, with the store at its rate', async () => {
+	it('updates all endpoints to the newest version in time, with few unavailable at once and limited concurrent fetches', async () => {
 		const pool = new FakePool(6);
 		const rollout = createRollout(pool);
-		expect(await run(pool, rollout)).to.be.at.most(boundMs);
-		expect(pool.mostOut).to.be.at.most(3);
-		expect(pool.mostFetching).to.be.at.most(4);
+		expect(await run(pool, rollout)).to.be.at.most(limitMs);
+		expect(pool.maxSwapping).to.be.at.most(3);
+		expect(pool.maxFetching).to.be.at.most(4);
 		expect(rollout.describe()[0]).to.deep.include({
 			model: 'trail', version: 2, isDone: true, stuck: [],
 		});
 	});
 
-	it('leaves interactive callers what they need', async () => {
-		// Each of six endpoints runs four interactive requests of eight: three endpoints' worth, and a quarter to spare.
+	it('leaves interactive callers the capacity that they need', async () => {
+		// Each of six endpoints runs four interactive requests in eight slots: the demand of three endpoints, plus a reserve of a quarter.
 		const pool = new FakePool(6, 4);
-		expect(await run(pool, createRollout(pool))).to.be.at.most(boundMs);
-		expect(pool.mostOut).to.be.at.most(2);
+		expect(await run(pool, createRollout(pool))).to.be.at.most(limitMs);
+		expect(pool.maxSwapping).to.be.at.most(2);
 	});
 
-	it('tries failed swaps again and counts only what is reported', async () => {
+	it('retries failed swaps and counts an endpoint as done only when it reports the version', async () => {
 		const pool = new FakePool(4);
 		pool.get(0).failures = 2;
 		const rollout = createRollout(pool);
@@ -201,7 +203,7 @@
 		expect(rollout.describe()[0]!.isDone).to.equal(true);
 	});
 
-	it('leaves an endpoint that fails for good at its version, and says so', async () => {
+	it('leaves an endpoint that fails permanently at its version, and reports it as stuck', async () => {
 		const pool = new FakePool(3);
 		pool.get(0).failures = 1000;
 		const rollout = createRollout(pool);
@@ -210,13 +212,13 @@
 		expect(rollout.describe()[0]!.stuck).to.deep.equal([{agent: 'agent-0', detail: 'the swap failed'}]);
 	});
 
-	it('swaps at once on an engine that can not fetch ahead', async () => {
+	it('swaps without a prefetch on an engine that does not support it', async () => {
 		const pool = new FakePool(2);
 		pool.get(0).canFetch = false;
-		expect(await run(pool, createRollout(pool))).to.be.at.most(boundMs);
+		expect(await run(pool, createRollout(pool))).to.be.at.most(limitMs);
 	});
 
-	it('gives no order without the lease, and another holder ends what was begun under a higher fence', async () => {
+	it('sends no order without the lease, and another holder finishes the rollout under a higher fence', async () => {
 		const pool = new FakePool(6);
 		let isHeld = true;
 		const first = createRollout(pool, {fence: 1, holds: () => isHeld});
@@ -226,15 +228,15 @@
 		await run(pool, first, 5000);
 		expect(pool.sent).to.have.lengthOf(sent);
 		expect(first.describe()).to.deep.equal([]);
-		expect(await run(pool, createRollout(pool, {fence: 2, holds: () => true}))).to.be.at.most(boundMs);
-		// It was paused, resumes, and believes that it still holds the lease: the agents refuse it.
+		expect(await run(pool, createRollout(pool, {fence: 2, holds: () => true}))).to.be.at.most(limitMs);
+		// The first holder resumes after a pause and assumes that it still holds the lease: the agents refuse its orders.
 		isHeld = true;
 		published = 9;
 		await run(pool, first, 3000);
 		expect(pool.versions).to.deep.equal([2, 2, 2, 2, 2, 2]);
 	});
 
-	it('asks for the lease before each order, not once a round', async () => {
+	it('checks the lease before each order, not once per tick', async () => {
 		const pool = new FakePool(6);
 		let checks = 0;
 		const rollout = createRollout(pool, {
@@ -248,28 +250,28 @@
 		expect(pool.sent).to.have.lengthOf(2);
 	});
 
-	it('goes on with what it knows while the store is down', async () => {
+	it('continues with the known versions while the store is down', async () => {
 		const pool = new FakePool(6);
 		const rollout = createRollout(pool);
 		await run(pool, rollout, 500);
 		isStoreDown = true;
-		expect(await run(pool, rollout)).to.be.at.most(boundMs);
+		expect(await run(pool, rollout)).to.be.at.most(limitMs);
 	});
 
-	it('orders again where the answer or the link was lost', async () => {
+	it('repeats an order when the answer or the link was lost', async () => {
 		const pool = new FakePool(2);
-		pool.get(0).isMute = true;
+		pool.get(0).isUnresponsive = true;
 		pool.get(1).isUp = false;
 		const rollout = createRollout(pool);
 		await run(pool, rollout, 3000);
 		expect(pool.versions).to.deep.equal([1, 1]);
-		pool.get(0).isMute = false;
+		pool.get(0).isUnresponsive = false;
 		pool.get(1).isUp = true;
 		await run(pool, rollout, 45_000);
 		expect(pool.versions).to.deep.equal([2, 2]);
 	});
 
-	it('brings an engine that was started anew to the version again', async () => {
+	it('updates a restarted engine to the version again', async () => {
 		const pool = new FakePool(2);
 		const rollout = createRollout(pool);
 		await run(pool, rollout);
@@ -278,18 +280,18 @@
 		expect(pool.versions).to.deep.equal([2, 2]);
 	});
 
-	it('goes on to a version that comes meanwhile, and never back', async () => {
+	it('continues with a newer version published during the rollout, and never goes back', async () => {
 		const pool = new FakePool(4);
 		const rollout = createRollout(pool);
 		await run(pool, rollout, 3000);
 		published = 3;
-		expect(await run(pool, rollout)).to.be.at.most(boundMs);
+		expect(await run(pool, rollout)).to.be.at.most(limitMs);
 		published = 1;
 		await run(pool, rollout, 5000);
 		expect(pool.versions).to.deep.equal([3, 3, 3, 3]);
 	});
 
-	it('orders nothing of an endpoint that leaves', async () => {
+	it('sends no order to an endpoint that is leaving', async () => {
 		const pool = new FakePool(2);
 		pool.get(0).status = {...createStatus(0), isLeaving: true};
 		await run(pool, createRollout(pool));
--- a/packages/systems/src/weight-rollout.ts
+++ b/packages/systems/src/weight-rollout.ts
@@ -201,7 +201,7 @@
 		}
 	}
 
-	/** Endpoints that interactive callers keep busy: what they use now, or a little less than what they used before. */
+	/** Updates the number of endpoints that interactive callers occupy: the current use, or the decayed earlier one if that is higher. */
 	#updateInteractive(endpoints: readonly ControlledEndpoint[]): void {
 		const used = endpoints.reduce((sum, {status}) => sum + ((status.interactive ?? 0) / Math.max(1, status.limit)), 0);
 		const now = performance.now();
