--- a/packages/systems/__tests__/placement-runner.spec.ts
+++ b/packages/systems/__tests__/placement-runner.spec.ts
@@ -165,6 +165,6 @@
 		failures = 1;
 		await run(runner, 60);
 		expect(listHeldModels()).to.include('route@7');
-		expect(runner.moving).to.equal(0);
+		expect(runner.movingCount).to.equal(0);
 	});
 });
--- a/packages/systems/src/commit-gateway.ts
+++ b/packages/systems/src/commit-gateway.ts
@@ -19,7 +19,7 @@
 import {hashToNumber, orderByRank} from '@wasabiusher/shared';
 
 /** Maximum number of entries in a data centre for which each commits directly. */
-const maxDirect = 8;
+const defaultMaxDirectEntries = 8;
 
 /** Number of gatherers per data centre; two, so that a crash of one does not block all rows. */
 const gatherersPerDataCentre = 2;
@@ -82,7 +82,7 @@
 
 	/** Names of the current gatherers; empty while each entry commits directly. */
 	get gatherers(): string[] {
-		const {name, listEntries, maxDirect: limit = maxDirect} = this.#settings;
+		const {name, listEntries, maxDirect: limit = defaultMaxDirectEntries} = this.#settings;
 		const entries = [...new Set([...listEntries(), name])];
 		return entries.length <= limit ? [] : orderByRank('commits', entries).slice(0, gatherersPerDataCentre);
 	}
@@ -100,7 +100,7 @@
 			return;
 		}
 
-		const pending = this.#take(message.commit);
+		const pending = this.#takePending(message.commit);
 		if (pending) {
 			outcomes[message.outcome](pending, message.row);
 		}
@@ -110,7 +110,7 @@
 	onLinkDown(entry: string): void {
 		for (const [commit, {gatherer}] of this.#pending) {
 			if (gatherer === entry) {
-				this.#take(commit)?.reject(new RecordError('unknown', 'the link to the gatherer was lost'));
+				this.#takePending(commit)?.reject(new RecordError('unknown', 'the link to the gatherer was lost'));
 			}
 		}
 	}
@@ -120,14 +120,14 @@
 		const commit = `${this.#settings.name}/${this.#sent}`;
 		return new Promise((resolve, reject) => {
 			const timer = setTimeout(() => {
-				this.#take(commit)?.reject(new RecordError('unknown', 'the gatherer did not answer'));
+				this.#takePending(commit)?.reject(new RecordError('unknown', 'the gatherer did not answer'));
 			}, answerTimeoutMs);
 			this.#pending.set(commit, {
 				gatherer, timer, resolve, reject,
 			});
 			if (!this.#settings.send(gatherer, {kind: 'commit', commit, write})) {
 				// Nothing was sent, so this entry commits directly.
-				this.#take(commit);
+				this.#takePending(commit);
 				this.#commits.write(write).then(resolve, reject);
 			}
 		});
@@ -154,7 +154,7 @@
 		}
 	}
 
-	#take(commit: string): Pending | undefined {
+	#takePending(commit: string): Pending | undefined {
 		const pending = this.#pending.get(commit);
 		this.#pending.delete(commit);
 		clearTimeout(pending?.timer);
--- a/packages/systems/src/invariants.ts
+++ b/packages/systems/src/invariants.ts
@@ -27,7 +27,7 @@
 const leavingGraceMs = 3000;
 
 /** Position of a frame in an answer: its request, its attempt and its sequence number. */
-export type FramePlace = {request: string; attempt: number; sequence: number};
+export type FramePosition = {request: string; attempt: number; sequence: number};
 
 /** Staleness of a sample and its limits, as known before delivery. */
 export type FreshnessFacts = {
@@ -87,7 +87,7 @@
 	}
 
 	/** Before a frame is added to an answer: it is the next one of the same request and attempt. */
-	checkOwnAnswer(expected: FramePlace, got: FramePlace): boolean {
+	checkOwnAnswer(expected: FramePosition, got: FramePosition): boolean {
 		const isNext = got.request === expected.request && got.attempt === expected.attempt && got.sequence === expected.sequence;
 		return this.check('own-answer', isNext, `expected ${formatFrame(expected)}, got ${formatFrame(got)}`);
 	}
@@ -123,6 +123,6 @@
 	}
 }
 
-function formatFrame({request, attempt, sequence}: FramePlace): string {
+function formatFrame({request, attempt, sequence}: FramePosition): string {
 	return `${request}#${attempt}:${sequence}`;
 }
--- a/packages/systems/src/part-gatherer.ts
+++ b/packages/systems/src/part-gatherer.ts
@@ -43,8 +43,8 @@
 }
 
 /** Returns how long a part of a priority class may be held for coalescing at the current rate, in milliseconds. */
-export function findGatherMs(name: PriorityClass, rate: PartRate): number {
-	return name === 'interactive' && rate.isLow ? 0 : coalescingMs[name];
+export function findGatherMs(priorityClass: PriorityClass, rate: PartRate): number {
+	return priorityClass === 'interactive' && rate.isLow ? 0 : coalescingMs[priorityClass];
 }
 
 /** Coalesces the parts of one stream on their way to its entry. */
--- a/packages/systems/src/placement-runner.ts
+++ b/packages/systems/src/placement-runner.ts
@@ -61,7 +61,7 @@
 	}
 
 	/** Number of engines that are being changed. */
-	get moving(): number {
+	get movingCount(): number {
 		return this.#moves.size;
 	}
 
--- a/packages/systems/src/steps-decisions.ts
+++ b/packages/systems/src/steps-decisions.ts
@@ -64,12 +64,12 @@
 
 	/** Returns idle samples in the order in which to start them. */
 	orderIdle(request: StepRequest, idle: readonly SlotFacts[]): SlotFacts[] {
-		const kind = formatLengthKey(request);
+		const lengthKey = formatLengthKey(request);
 		const byPosition = new Map(idle.map(facts => [facts.position, facts]));
 		const pending = idle.map(({position, group, startedAttempts}) => ({
 			group,
 			index: position % request.groupSize,
-			predictedTokens: this.#lengths.predict(kind, this.#findPromptHash(request, group), request.maxTokens),
+			predictedTokens: this.#lengths.predict(lengthKey, this.#findPromptHash(request, group), request.maxTokens),
 			isRedrawn: startedAttempts > 0,
 		}));
 		return orderSamples(pending).map(({group, index}) => byPosition.get(toPosition(request, group, index))!);
@@ -77,14 +77,14 @@
 
 	/** Returns the positions of samples that get a second attempt beside the running one. */
 	planSecondAttempts(request: StepRequest, facts: readonly SlotFacts[], idle: readonly IdleEndpoint[]): number[] {
-		const kind = formatLengthKey(request);
+		const lengthKey = formatLengthKey(request);
 		const now = performance.now();
 		const drawing = facts.filter(({state}) => state === 'drawing');
 		const running = drawing.map(slot => this.#describeRunning(request, slot, now));
 		const capacity = running.reduce((sum, {speed}) => sum + speed, 0);
 		const waitingTokens = facts
 			.filter(({state}) => state === 'idle')
-			.reduce((sum, {group}) => sum + this.#lengths.predict(kind, this.#findPromptHash(request, group), request.maxTokens), 0);
+			.reduce((sum, {group}) => sum + this.#lengths.predict(lengthKey, this.#findPromptHash(request, group), request.maxTokens), 0);
 		const leftTokens = running.reduce((sum, {remainingTokens}) => sum + remainingTokens, waitingTokens);
 		const stragglers = running.map(straggler => ({...straggler, stepLeftMs: leftTokens / capacity}));
 		const startedFraction = facts.filter(({state}) => state !== 'idle').length / facts.length;
@@ -92,13 +92,13 @@
 	}
 
 	#describeRunning(request: StepRequest, {position, group, tokens, runningAttempts, startedAt, endpoint}: SlotFacts, now: number): Straggler {
-		const kind = formatLengthKey(request);
-		const prompt = this.#findPromptHash(request, group);
-		this.#lengths.recordProgress(kind, prompt, tokens);
+		const lengthKey = formatLengthKey(request);
+		const promptHash = this.#findPromptHash(request, group);
+		this.#lengths.recordProgress(lengthKey, promptHash, tokens);
 		return {
 			id: String(position),
 			endpoint,
-			remainingTokens: this.#lengths.predictRemaining(kind, prompt, tokens, request.maxTokens),
+			remainingTokens: this.#lengths.predictRemaining(lengthKey, promptHash, tokens, request.maxTokens),
 			madeTokens: tokens,
 			speed: Math.max(tokens, 1) / Math.max(1, now - startedAt),
 			isDoubled: runningAttempts > 1,
--- a/packages/systems/src/steps-delivery.ts
+++ b/packages/systems/src/steps-delivery.ts
@@ -47,15 +47,15 @@
 			}
 
 			const waitingSince = performance.now();
-			metrics.trainers.record(step.request, true);
+			metrics.trainerTime.record(step.request, true);
 			// Each iteration depends on what the previous one delivered.
 			// eslint-disable-next-line no-await-in-loop
 			await step.waitForChange(changeCount, stop);
 			metrics.idle.observe((performance.now() - waitingSince) / 1000);
 			if (signal.aborted) {
-				metrics.trainers.forget(step.request);
+				metrics.trainerTime.forget(step.request);
 			} else {
-				metrics.trainers.record(step.request, false);
+				metrics.trainerTime.record(step.request, false);
 			}
 		}
 	} finally {
--- a/packages/systems/src/steps-metrics.ts
+++ b/packages/systems/src/steps-metrics.ts
@@ -19,7 +19,7 @@
 	readonly redrawn: Counter<'reason'>;
 	/** Samples delivered without the score that their profile requires. */
 	readonly unscored: Counter;
-	readonly trainers: TrainerTime;
+	readonly trainerTime: TrainerTime;
 	readonly #objectives: Pick<ObjectiveMetrics, 'record'> | undefined;
 
 	/**
@@ -28,7 +28,7 @@
 	 */
 	constructor(registry?: Registry, objectives?: Pick<ObjectiveMetrics, 'record'>) {
 		this.#objectives = objectives;
-		this.trainers = new TrainerTime(objectives);
+		this.trainerTime = new TrainerTime(objectives);
 		const registers = registry ? [registry] : [];
 		this.idle = new Histogram({
 			name: 'wasabiusher_trainer_idle_seconds',
--- a/packages/systems/src/steps.ts
+++ b/packages/systems/src/steps.ts
@@ -301,7 +301,7 @@
 	}
 
 	#tick(): void {
-		this.#context.metrics.trainers.tick();
+		this.#context.metrics.trainerTime.tick();
 		for (const [id, {step, recorder}] of this.#runs) {
 			step.tick();
 			void recorder.advance();
--- a/packages/systems/src/trainer-time.ts
+++ b/packages/systems/src/trainer-time.ts
@@ -7,12 +7,12 @@
 /** Busy time without a pull after which a trainer is treated as ended, in milliseconds. */
 const endedAfterMs = 600_000;
 
-type Interval = {profile: string; isIdle: boolean; since: number; busySince: number};
+type TimeInterval = {profile: string; isIdle: boolean; since: number; busySince: number};
 
 /** Counts the time of all trainers of a process for the objective `trainerBusy`, in milliseconds. */
 export class TrainerTime {
 	readonly #objectives: Pick<ObjectiveMetrics, 'record'> | undefined;
-	readonly #intervals = new Map<string, Interval>();
+	readonly #intervals = new Map<string, TimeInterval>();
 
 	/** @param objectives - where the time is counted; not counted if undefined */
 	constructor(objectives?: Pick<ObjectiveMetrics, 'record'>) {
@@ -54,7 +54,7 @@
 		}
 	}
 
-	#count(interval: Interval, now: number): void {
+	#count(interval: TimeInterval, now: number): void {
 		this.#objectives?.record(interval.profile, 'trainerBusy', !interval.isIdle, now - interval.since);
 		interval.since = now;
 	}
--- a/packages/systems/src/weight-rollout.ts
+++ b/packages/systems/src/weight-rollout.ts
@@ -66,7 +66,7 @@
 type Rollout = {
 	model: string;
 	version: number;
-	seenAt: number;
+	discoveredAt: number;
 	doneAt?: number;
 	progress: Map<string, Progress>;
 };
@@ -130,7 +130,7 @@
 	/** Returns the progress of all rollouts; empty without the lease. */
 	describe(): RolloutProgress[] {
 		const now = performance.now();
-		return [...this.#rollouts.values()].map(({model, version, seenAt, doneAt, progress}) => {
+		return [...this.#rollouts.values()].map(({model, version, discoveredAt, doneAt, progress}) => {
 			const counts: RolloutProgress['counts'] = {
 				old: 0, fetching: 0, fetched: 0, swapping: 0, current: 0,
 			};
@@ -140,7 +140,7 @@
 
 			const stuck = [...progress].filter(([, {replica}]) => isStuck(replica)).map(([agent, {detail}]) => ({agent, detail}));
 			return {
-				service: this.#settings.service, model, version, counts, stuck, elapsedMs: (doneAt ?? now) - seenAt, isDone: doneAt !== undefined,
+				service: this.#settings.service, model, version, counts, stuck, elapsedMs: (doneAt ?? now) - discoveredAt, isDone: doneAt !== undefined,
 			};
 		});
 	}
@@ -176,7 +176,7 @@
 		const known = this.#rollouts.get(model);
 		if (!known || version > known.version) {
 			this.#rollouts.set(model, {
-				model, version, seenAt: performance.now(), progress: new Map(),
+				model, version, discoveredAt: performance.now(), progress: new Map(),
 			});
 		}
 	}
@@ -236,7 +236,7 @@
 		} else if (rollout.doneAt === undefined) {
 			rollout.doneAt = performance.now();
 			this.#settings.log.info('rollout_done', {
-				model: rollout.model, version: rollout.version, endpoints: rollout.progress.size, elapsedMs: Math.round(rollout.doneAt - rollout.seenAt),
+				model: rollout.model, version: rollout.version, endpoints: rollout.progress.size, elapsedMs: Math.round(rollout.doneAt - rollout.discoveredAt),
 			});
 		}
 	}
