--- a/packages/systems/src/weight-rollout.ts
+++ b/packages/systems/src/weight-rollout.ts
@@ -1,19 +1,19 @@
 /**
- * Brings new versions of models to all endpoints of a service, in waves.
+ * Rolls out new versions of models to all endpoints of a service, in waves.
  *
- * Run by whoever holds the lease of the service's orders. All that it goes by is what endpoints report and what
- * the weight store lists, so another holder goes on from where the last one was: what was fetched is asked for
- * again, which is soon answered. An endpoint counts as done when it reports the version, never by an order.
+ * The holder of the lease on the service's orders runs it. Its only inputs are what endpoints report and what
+ * the weight store lists, so another holder continues where the previous one stopped: fetches are ordered
+ * again, and those already complete are answered quickly. An endpoint counts as done when it reports the version, not when an order is answered.
  */
 import {planWave, type Replica, type WavePlan} from '@wasabiusher/decisions';
 import type {EndpointStatus, Message, MessageOf} from '@wasabiusher/link';
 import type {WeightStore} from '@wasabiusher/backends';
 import {describeError, type Log} from '@wasabiusher/shared';
 import {
-	createProgress, failProgress, followReport, isStuck, type Progress,
+	createProgress, applyFailure, applyReport, isStuck, type Progress,
 } from './rollout-progress.js';
 
-/** An endpoint as control sees it. */
+/** An endpoint as the control of its service knows it. */
 export type ControlledEndpoint = {
 	/** Name of its agent. */
 	agent: string;
@@ -21,7 +21,7 @@
 	status: EndpointStatus;
 };
 
-/** The right to give orders; a `LeaseHolder` has this shape. */
+/** The lease that allows this process to send orders; a `LeaseHolder` satisfies this type. */
 export type OrderLease = {readonly fence: number; holds(): boolean};
 
 export type WeightRolloutSettings = {
@@ -29,7 +29,7 @@
 	weights: WeightStore;
 	lease: OrderLease;
 	log: Log;
-	/** Fetches that the weight store serves at once at full speed. */
+	/** Number of concurrent fetches that the weight store serves at full speed. */
 	storeStreams?: number;
 	/** Endpoints of the service that this process has links to. */
 	listEndpoints(): ControlledEndpoint[];
@@ -37,51 +37,51 @@
 	send(agent: string, message: Message): boolean;
 };
 
-/** How the rollout of one version stands. */
+/** Progress of the rollout of one version. */
 export type RolloutProgress = {
 	service: string;
 	model: string;
 	version: number;
-	/** Endpoints by their state. */
+	/** Number of endpoints in each state. */
 	counts: Record<Replica['state'], number>;
-	/** Endpoints that are left at an older version, and why. */
+	/** Endpoints that stay at an older version, with the reason. */
 	stuck: Array<{agent: string; detail: string}>;
-	/** Since the version was seen, in milliseconds, or until it was everywhere. */
+	/** Time since the version was found in the weight store, in milliseconds; once the rollout is done, its duration. */
 	elapsedMs: number;
 	isDone: boolean;
 };
 
-/** Fetches at once by default: enough to use a store's rate whole, few enough that the first ones soon end. */
+/** Default number of concurrent fetches: enough to use the store's full rate, few enough that the first ones finish soon. */
 const defaultStoreStreams = 4;
 
-/** How often the weight store is asked for new versions, in milliseconds: a twentieth of the 17 s that a rollout may take. */
-const versionsMs = 1000;
+/** Interval at which the weight store is polled for new versions, in milliseconds: about a twentieth of the 17 s that a rollout may take. */
+const versionPollIntervalMs = 1000;
 
-/** Longest wait for the answer to an order, in milliseconds; the agent's own limit towards the engine is 30 s. */
-const orderMs = 35_000;
+/** Maximum wait for the answer to an order, in milliseconds; above the agent's own 30 s timeout for the engine. */
+const orderTimeoutMs = 35_000;
 
-/** Time in which interactive demand is mostly forgotten, in milliseconds, so that a pause of a second lends nothing. */
-const demandMs = 20_000;
+/** Time constant with which recorded interactive demand decays, in milliseconds, so that a pause of one second does not release endpoints. */
+const interactiveDecayMs = 20_000;
 
 type Rollout = {
 	model: string;
 	version: number;
-	seenAt: number;
+	discoveredAt: number;
 	doneAt?: number;
 	progress: Map<string, Progress>;
 };
 
 type PendingOrder = {rollout: Rollout; agent: string; kind: 'prefetch' | 'load'; sentAt: number};
 
-/** The rollouts of one service. */
+/** Runs the rollouts of one service. */
 export class WeightRollout {
 	readonly #settings: WeightRolloutSettings;
 	readonly #rollouts = new Map<string, Rollout>();
 	readonly #orders = new Map<string, PendingOrder>();
 	#orderCount = 0;
-	#interactive = 0;
+	#interactiveEndpoints = 0;
 	#interactiveAt = Number.NEGATIVE_INFINITY;
-	#versionsAt = Number.NEGATIVE_INFINITY;
+	#versionsReadAt = Number.NEGATIVE_INFINITY;
 	#isReading = false;
 	#isStoreDown = false;
 
@@ -89,10 +89,10 @@
 		this.#settings = settings;
 	}
 
-	/** Reads what is new and orders what is due; does nothing without the lease. Never rejects. */
+	/** Reads new versions and sends the orders that are due; does nothing without the lease. Never rejects. */
 	async tick(): Promise<void> {
 		if (!this.#settings.lease.holds()) {
-			this.#forget();
+			this.#reset();
 			return;
 		}
 
@@ -100,7 +100,7 @@
 		this.#plan();
 	}
 
-	/** An agent has carried out an order, or not. */
+	/** Handles an agent's answer to an order. */
 	receive(agent: string, {order: id, outcome, detail}: MessageOf<'ordered'>): void {
 		const order = this.#orders.get(id);
 		if (order?.agent !== agent) {
@@ -117,20 +117,20 @@
 		this.#plan();
 	}
 
-	/** Whether an endpoint carries out an order of a rollout at present. */
+	/** Returns whether an order of a rollout is pending at an endpoint. */
 	isOrdered(agent: string): boolean {
 		return [...this.#orders.values()].some(order => order.agent === agent);
 	}
 
-	/** The newest version of a model that the weight store has shown. */
+	/** Returns the newest version of a model that the weight store has listed; undefined if there is none. */
 	findVersion(model: string): number | undefined {
 		return this.#rollouts.get(model)?.version;
 	}
 
-	/** How all rollouts stand; empty without the lease. */
+	/** Returns the progress of all rollouts; empty without the lease. */
 	describe(): RolloutProgress[] {
 		const now = performance.now();
-		return [...this.#rollouts.values()].map(({model, version, seenAt, doneAt, progress}) => {
+		return [...this.#rollouts.values()].map(({model, version, discoveredAt, doneAt, progress}) => {
 			const counts: RolloutProgress['counts'] = {
 				old: 0, fetching: 0, fetched: 0, swapping: 0, current: 0,
 			};
@@ -140,23 +140,23 @@
 
 			const stuck = [...progress].filter(([, {replica}]) => isStuck(replica)).map(([agent, {detail}]) => ({agent, detail}));
 			return {
-				service: this.#settings.service, model, version, counts, stuck, elapsedMs: (doneAt ?? now) - seenAt, isDone: doneAt !== undefined,
+				service: this.#settings.service, model, version, counts, stuck, elapsedMs: (doneAt ?? now) - discoveredAt, isDone: doneAt !== undefined,
 			};
 		});
 	}
 
 	async #readVersions(): Promise<void> {
 		const now = performance.now();
-		if (this.#isReading || now - this.#versionsAt < versionsMs) {
+		if (this.#isReading || now - this.#versionsReadAt < versionPollIntervalMs) {
 			return;
 		}
 
 		const {weights, log, service} = this.#settings;
-		this.#versionsAt = now;
+		this.#versionsReadAt = now;
 		this.#isReading = true;
 		try {
 			for (const {model, version} of await weights.listVersions()) {
-				this.#see(model, version);
+				this.#addVersion(model, version);
 			}
 
 			this.#isStoreDown = false;
@@ -171,46 +171,46 @@
 		}
 	}
 
-	/** A version only ever goes up; a newer one takes the place of a rollout under way. */
-	#see(model: string, version: number): void {
+	/** Starts the rollout of a newer version, which replaces a running one; older versions are ignored. */
+	#addVersion(model: string, version: number): void {
 		const known = this.#rollouts.get(model);
 		if (!known || version > known.version) {
 			this.#rollouts.set(model, {
-				model, version, seenAt: performance.now(), progress: new Map(),
+				model, version, discoveredAt: performance.now(), progress: new Map(),
 			});
 		}
 	}
 
 	#plan(): void {
-		// Each order asks again, since the lease may lapse between two of them.
+		// Each order checks the lease again, since it may expire between two of them.
 		if (!this.#settings.lease.holds()) {
 			return;
 		}
 
 		this.#expireOrders();
 		const endpoints = this.#settings.listEndpoints().filter(({isUp, status}) => isUp && status.isHealthy && !status.isLeaving);
-		this.#followInteractive(endpoints);
+		this.#updateInteractive(endpoints);
 		for (const rollout of this.#rollouts.values()) {
-			this.#follow(rollout, endpoints);
-			this.#order(rollout, planWave(this.#listReplicas(rollout), {
+			this.#updateProgress(rollout, endpoints);
+			this.#sendOrders(rollout, planWave(this.#listReplicas(rollout), {
 				storeStreams: this.#settings.storeStreams ?? defaultStoreStreams,
-				// Engines say nothing of serving weights to one another.
+				// Engines do not report whether they serve weights to each other.
 				peerStreams: 0,
-				interactiveEndpoints: this.#interactive,
+				interactiveEndpoints: this.#interactiveEndpoints,
 			}, performance.now()));
 		}
 	}
 
-	/** Endpoints that interactive callers keep busy: what they use now, or a little less than what they used before. */
-	#followInteractive(endpoints: readonly ControlledEndpoint[]): void {
+	/** Updates the number of endpoints that interactive callers occupy: the current use, or the decayed earlier one if that is higher. */
+	#updateInteractive(endpoints: readonly ControlledEndpoint[]): void {
 		const used = endpoints.reduce((sum, {status}) => sum + ((status.interactive ?? 0) / Math.max(1, status.limit)), 0);
 		const now = performance.now();
-		this.#interactive = Math.max(used, this.#interactive * Math.exp(-(now - this.#interactiveAt) / demandMs));
+		this.#interactiveEndpoints = Math.max(used, this.#interactiveEndpoints * Math.exp(-(now - this.#interactiveAt) / interactiveDecayMs));
 		this.#interactiveAt = now;
 	}
 
-	/** Takes over what endpoints report; one that has come, or come back with an older version, begins anew. */
-	#follow(rollout: Rollout, endpoints: readonly ControlledEndpoint[]): void {
+	/** Updates the progress from the reports of endpoints; a new endpoint, or one that reports an older version again, starts over. */
+	#updateProgress(rollout: Rollout, endpoints: readonly ControlledEndpoint[]): void {
 		const holders = new Map(endpoints.flatMap(({agent, status}) => {
 			const loaded = status.models.find(({model}) => model === rollout.model);
 			return loaded ? [[agent, loaded.version] as const] : [];
@@ -223,31 +223,31 @@
 
 		for (const [agent, version] of holders) {
 			const known = rollout.progress.get(agent) ?? createProgress(agent);
-			rollout.progress.set(agent, followReport(known, version, rollout.version));
+			rollout.progress.set(agent, applyReport(known, version, rollout.version));
 		}
 
-		this.#noteDone(rollout);
+		this.#updateDone(rollout);
 	}
 
-	#noteDone(rollout: Rollout): void {
+	#updateDone(rollout: Rollout): void {
 		const isDone = rollout.progress.size > 0 && [...rollout.progress.values()].every(({replica}) => replica.state === 'current');
 		if (!isDone) {
 			rollout.doneAt = undefined;
 		} else if (rollout.doneAt === undefined) {
 			rollout.doneAt = performance.now();
 			this.#settings.log.info('rollout_done', {
-				model: rollout.model, version: rollout.version, endpoints: rollout.progress.size, elapsedMs: Math.round(rollout.doneAt - rollout.seenAt),
+				model: rollout.model, version: rollout.version, endpoints: rollout.progress.size, elapsedMs: Math.round(rollout.doneAt - rollout.discoveredAt),
 			});
 		}
 	}
 
-	/** An endpoint that swaps another of its models is out for this one too. */
+	/** Returns the replicas; an endpoint that swaps another of its models counts as swapping for this one too. */
 	#listReplicas(rollout: Rollout): Replica[] {
 		const swapping = new Set([...this.#orders.values()].filter(({kind}) => kind === 'load').map(({agent}) => agent));
 		return [...rollout.progress].map(([agent, {replica}]) => swapping.has(agent) ? {...replica, state: 'swapping'} : replica);
 	}
 
-	#order(rollout: Rollout, {fetches, swaps}: WavePlan): void {
+	#sendOrders(rollout: Rollout, {fetches, swaps}: WavePlan): void {
 		for (const {id, source} of fetches) {
 			this.#send(rollout, id, 'prefetch', source);
 		}
@@ -282,7 +282,7 @@
 	#finishOrder({rollout, agent, kind}: PendingOrder): void {
 		const known = rollout.progress.get(agent);
 		if (known) {
-			// A swap that is done shows in a status; until then the endpoint is not asked again.
+			// A completed swap shows in a status; until then no further order is sent to the endpoint.
 			const isFetch = kind === 'prefetch';
 			rollout.progress.set(agent, {
 				...known, replica: {...known.replica, state: isFetch ? 'fetched' : 'swapping'}, swappedAt: isFetch ? undefined : performance.now(),
@@ -297,28 +297,28 @@
 			agent, order: kind, model: rollout.model, version: rollout.version, detail,
 		});
 		if (known) {
-			rollout.progress.set(agent, failProgress(known, kind, detail));
+			rollout.progress.set(agent, applyFailure(known, kind, detail));
 		}
 	}
 
-	/** The answer to an order may be lost with the link that would have brought it. */
+	/** Fails orders without an answer, which may have been lost with the link. */
 	#expireOrders(): void {
 		const now = performance.now();
 		const up = new Set(this.#settings.listEndpoints().filter(({isUp}) => isUp).map(({agent}) => agent));
 		for (const [id, order] of this.#orders) {
 			if (order.rollout.progress.get(order.agent)?.replica.state === 'current') {
 				this.#orders.delete(id);
-			} else if (now - order.sentAt > orderMs || !up.has(order.agent)) {
+			} else if (now - order.sentAt > orderTimeoutMs || !up.has(order.agent)) {
 				this.#orders.delete(id);
 				this.#failOrder(order, 'no answer');
 			}
 		}
 	}
 
-	/** Another holder goes on; what is known here would be old when the lease comes back. */
-	#forget(): void {
+	/** Clears all state when the lease is lost: another holder continues, and the state would be outdated when the lease is regained. */
+	#reset(): void {
 		this.#rollouts.clear();
 		this.#orders.clear();
-		this.#versionsAt = Number.NEGATIVE_INFINITY;
+		this.#versionsReadAt = Number.NEGATIVE_INFINITY;
 	}
 }
