--- a/scripts/mutants.ts
+++ b/scripts/mutants.ts
@@ -126,7 +126,7 @@
 	},
 	{
 		name: 'a new process is ready with neither store nor peers',
-		patches: [{file: systems('configuration-adopter'), find: 'return heard.length >= needed', replace: 'return heard.length >= 0'}],
+		patches: [{file: systems('configuration-adopter'), find: 'return reportedVersions.length >= requiredPeers', replace: 'return reportedVersions.length >= 0'}],
 		specs: [systemsSpec('configuration-adopter')],
 	},
 	{
@@ -169,12 +169,12 @@
 	},
 	{
 		name: 'the cursor is ignored',
-		patches: [...unguarded, {file: systems('steps-step'), find: '!received.has(place) && state !== \'done\'', replace: 'state !== \'done\''}],
+		patches: [...unguarded, {file: systems('steps-step'), find: '!received.has(position) && state !== \'done\'', replace: 'state !== \'done\''}],
 		specs: [systemsSpec('steps')],
 	},
 	{
 		name: 'a sample is labelled with its first version only',
-		patches: [{file: systems('steps-drawing'), find: 'appendSpan(versions, part.version, part.tokens)', replace: 'appendSpan(versions, versions[0]?.version ?? part.version, part.tokens)'}],
+		patches: [{file: systems('steps-attempt'), find: 'appendSpan(versions, part.version, part.tokens)', replace: 'appendSpan(versions, versions[0]?.version ?? part.version, part.tokens)'}],
 		specs: [systemsSpec('steps')],
 	},
 	{
@@ -187,12 +187,12 @@
 	},
 	{
 		name: 'the second attempt to finish replaces the sample',
-		patches: [{file: systems('steps-slots'), find: '\t\tdrawing.cancel();\n', replace: '\t\t// The mutant lets it go on.\n\t\tvoid drawing;\n'}],
+		patches: [{file: systems('steps-slots'), find: '\t\tattempt.cancel();\n', replace: '\t\t// The mutant lets it go on.\n\t\tvoid attempt;\n'}],
 		specs: [systemsSpec('steps')],
 	},
 	{
 		name: 'what gets ready while the trainer reads is missed',
-		patches: [{file: systems('steps-step'), find: ' || this.#changes !== since', replace: ''}],
+		patches: [{file: systems('steps-step'), find: ' || this.#changeCount !== since', replace: ''}],
 		specs: [systemsSpec('steps')],
 	},
 	{
