--- a/packages/cli/src/runs-command.ts
+++ b/packages/cli/src/runs-command.ts
@@ -3,7 +3,7 @@
  */
 import {z} from 'zod';
 import {
-	LogFileError, readLines, runEvents, RunsCount, type Quantiles, type ReadingCount, type RunsReport,
+	LogFileError, readLines, runEvents, RunStatistics, type Quantiles, type LineCounts, type RunsReport,
 } from '@wasabiusher/logs';
 import {defineCommand, jsonShape, logsSchema} from './command.js';
 import {CliError} from './errors.js';
@@ -16,7 +16,7 @@
 	return [field, ...[p50, p90, p99].map(value => value === undefined ? '-' : String(value))];
 }
 
-function formatReport(report: RunsReport, {lines, skipped}: ReadingCount): string {
+function formatReport(report: RunsReport, {lines, skipped}: LineCounts): string {
 	const {runs, refused, refusedLoading, texts, waits, moves, earlyMoves, failedCommits, hosts} = report;
 	return [
 		`${runs} runs, ${refused} refused, ${refusedLoading} of them by endpoints that loaded weights; ${texts} texts; ${lines} lines read, ${skipped} not understood`,
@@ -33,7 +33,7 @@
 	summary: 'Shows who was refused, what texts waited for and which runs moved, from log files',
 	schema: z.object({logs: logsSchema, ...jsonShape}),
 	async run({logs}) {
-		const count = new RunsCount();
+		const count = new RunStatistics();
 		const marks = runEvents.map(event => `event=${event} `);
 		try {
 			const reading = await readLines(logs, line => {
--- a/packages/cli/src/steps-command.ts
+++ b/packages/cli/src/steps-command.ts
@@ -3,8 +3,8 @@
  */
 import {z} from 'zod';
 import {
-	chainLinks, LogFileError, plotSlots, plotSteps, readLines, reportSteps, stepEvents, StepHistories, type ReadingCount, type ReportedStep, type StepsReport,
-	type TrainerSum,
+	chainLinks, LogFileError, plotSlots, plotSteps, readLines, reportSteps, stepEvents, StepHistories, type LineCounts, type ReportedStep, type StepsReport,
+	type TrainerSummary,
 } from '@wasabiusher/logs';
 import {defineCommand, jsonShape, logsSchema} from './command.js';
 import {CliError} from './errors.js';
@@ -27,7 +27,7 @@
 	];
 }
 
-function formatTrainer({trainer, steps, unfinished, meanWholeMs, meanBoundMs, lostMs, links}: TrainerSum): string[] {
+function formatTrainer({trainer, steps, unfinished, meanWholeMs, meanBoundMs, lostMs, links}: TrainerSummary): string[] {
 	return [
 		trainer,
 		String(steps),
@@ -38,7 +38,7 @@
 }
 
 /** The report for people; all times in seconds. */
-function formatReport(report: StepsReport, {lines, skipped}: ReadingCount): string {
+function formatReport(report: StepsReport, {lines, skipped}: LineCounts): string {
 	const {from, to, bestPaceMs, steps, trainers, slots, slotStepMs, loads} = report;
 	return [
 		`${steps.length} steps, ${loads} loads of weights; ${lines} lines read, ${skipped} not understood; fastest pace ${bestPaceMs?.toFixed(1) ?? '-'} ms an event`,
--- a/packages/logs/__tests__/explain.spec.ts
+++ b/packages/logs/__tests__/explain.spec.ts
@@ -5,10 +5,10 @@
 import {formatLine, type LogValue} from '@wasabiusher/shared';
 import {explainId, type Explanation} from '../src/index.js';
 
-/** Start of the logs, in milliseconds since 1970. */
+/** Start of the logs, in milliseconds since the epoch. */
 const startMs = Date.parse('2026-03-25T09:00:00Z');
 
-/** How far clocks of hosts are ahead, in milliseconds. */
+/** How far the clocks of hosts are ahead, in milliseconds. */
 const clockOffsets: Readonly<Record<string, number>> = {b: 4000};
 
 describe('explainId', () => {
@@ -22,7 +22,7 @@
 		rmSync(directory, {recursive: true});
 	});
 
-	/** A line as a host's clock that is off by `offsetMs` has it. */
+	/** Formats a line with the time on its host's clock. */
 	function createLine(host: string, atMs: number, event: string, values: Record<string, LogValue>): string {
 		return `${host} time=${new Date(startMs + atMs + (clockOffsets[host] ?? 0)).toISOString()} level=info program=p ${formatLine(event, values)}`;
 	}
@@ -37,8 +37,8 @@
 		return lines.map(({event, host}) => `${host} ${event}`);
 	}
 
-	/** A sample that breaks at an endpoint which is gone then, and is made at another; host b's clock is four seconds ahead. */
-	function writeBroken(): string[] {
+	/** Writes logs of a sample that breaks at a removed endpoint and is generated at another one. The clock of host b is four seconds ahead. */
+	function writeBrokenRun(): string[] {
 		const adopted = (host: string) => [1, 2, 3].map(version => createLine(host, version * 10, 'configuration_adopted', {version}));
 		return [
 			write('a.log', [
@@ -67,8 +67,8 @@
 		];
 	}
 
-	it('tells a sample\'s history in order across hosts whose clocks differ, with what happened to its batch and endpoints, and what decided', async () => {
-		const explanation = await explainId('s1', writeBroken());
+	it('orders the history of a sample across hosts with different clocks, and includes events of its batch and endpoints and the deciding line', async () => {
+		const explanation = await explainId('s1', writeBrokenRun());
 		expect(explanation.kind).to.equal('sample');
 		expect(list(explanation)).to.deep.equal([
 			'a batch_accepted', 'b batch_begun', 'a endpoint_removed', 'b run_broken', 'b text_made', 'b result_listed',
@@ -80,13 +80,13 @@
 		expect(explanation.count.skipped).to.equal(1);
 	});
 
-	it('tells what an id names by the lines that name it', async () => {
-		const files = writeBroken();
+	it('derives the kind of an id from the lines that name it', async () => {
+		const files = writeBrokenRun();
 		const explanations = await Promise.all(['x', 'e1', 'b', 's'].map(async id => explainId(id, files)));
 		expect(explanations.map(({kind}) => kind)).to.deep.equal(['batch', 'endpoint', 'host', undefined]);
 	});
 
-	it('takes no count for a version, and finds a lease by its name', async () => {
+	it('does not treat a count as a version, and finds a lease by its name', async () => {
 		const file = write('v.log', [
 			createLine('a', 0, 'configuration_adopted', {version: 7, routes: 9}),
 			createLine('a', 1, 'run_ended', {sample: 's', events: 7}),
@@ -102,7 +102,7 @@
 		expect(none.kind).to.equal(undefined);
 	});
 
-	it('takes a refused request for decided by its end', async () => {
+	it('treats the end of a refused request as the deciding line', async () => {
 		const file = write('r.log', [
 			createLine('a', 0, 'attempt_failed', {request: 'q', endpoint: 'e1', reason: 'closed'}),
 			createLine('a', 5, 'call_ended', {request: 'q', outcome: 'not-run', reason: 'e2 refused with status 503'}),
--- a/packages/logs/__tests__/runs-report.spec.ts
+++ b/packages/logs/__tests__/runs-report.spec.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {formatLine, type LogValue} from '@wasabiusher/shared';
-import {parseLine, RunsCount} from '../src/index.js';
+import {parseLine, RunStatistics} from '../src/index.js';
 
-describe('RunsCount', () => {
+describe('RunStatistics', () => {
 	function report(...lines: Array<readonly [atMs: number, host: string, event: string, values: Record<string, LogValue>]>) {
-		const count = new RunsCount();
+		const count = new RunStatistics();
 		for (const [atMs, host, event, values] of lines) {
 			count.add(parseLine(`${host} time=${new Date(atMs).toISOString()} level=info program=p ${formatLine(event, values)}`)!);
 		}
@@ -12,7 +12,7 @@
 		return count.report();
 	}
 
-	it('tells refusals that met a load, by orders of any host, from others', () => {
+	it('separates refusals during a load that any host ordered from other refusals', () => {
 		const {runs, refused, refusedLoading} = report(
 			[1100, 'a', 'run_ended', {endpoint: 'e', status: 503, tookMs: 10}],
 			[3000, 'a', 'run_ended', {endpoint: 'e', status: 503, tookMs: 10}],
@@ -25,7 +25,7 @@
 		expect([runs, refused, refusedLoading]).to.deep.equal([5, 4, 2]);
 	});
 
-	it('tells waits of texts and results, moves, failed writes that one line counts, and who made the texts', () => {
+	it('reports the times of texts and results, moves, failed writes that one line counts, and the texts by host', () => {
 		const {waits, moves, earlyMoves, failedCommits, hosts, texts} = report(
 			[1, 'a', 'text_made', {tookMs: 100, waitedMs: 50}],
 			[2, 'b', 'text_made', {tookMs: 200}],
--- a/packages/logs/src/explain.ts
+++ b/packages/logs/src/explain.ts
@@ -1,19 +1,19 @@
 /**
- * The history of one id from the logs of any number of hosts: its own lines, what concerned it besides, and the line that decided.
+ * Rebuilds the history of one id from the logs of any number of hosts: the lines that name it, related lines, and the line that decided its outcome.
  *
- * Two readings: the first finds the lines that name the id and what they name with it, the second what happened to these meanwhile. So memory grows
- * with what is told of the id, not with the logs.
+ * The logs are read twice. The first pass finds the lines that name the id and the other ids in these lines; the second pass finds the events of
+ * those other ids in the same period. Memory use thus grows with the number of relevant lines, not with the size of the logs.
  */
-import {createEventPattern, HostClocks, putRight} from './host-clocks.js';
+import {createEventPattern, HostClocks, correctTime} from './host-clocks.js';
 import type {LogLine} from './line.js';
-import {readLines, type ReadingCount} from './read-lines.js';
+import {readLines, type LineCounts} from './read-lines.js';
 
-/** What an id may name, by the key under which lines tell it; the first that fits counts. */
+/** Kinds of ids, each named after the key under which log lines have it. If several match, the first one counts. */
 const kindKeys = ['request', 'sample', 'batch', 'endpoint', 'host', 'lease', 'model', 'version', 'customer'] as const;
 
 export type SubjectKind = typeof kindKeys[number];
 
-/** Lines that decide what becomes of a subject, the most decisive first. */
+/** Events that decide the outcome for an id, the most decisive first. */
 const decisiveEvents: Readonly<Record<SubjectKind, readonly string[]>> = {
 	request: ['call_ended', 'stream_broken', 'attempt_failed'],
 	sample: ['sample_abandoned', 'result_listed', 'sample_failed', 'text_made', 'run_failed', 'run_broken'],
@@ -26,7 +26,7 @@
 	customer: ['usage_reported', 'call_ended'],
 };
 
-/** What concerns a subject that was named together with it, though it does not name the subject. */
+/** Events that concern an id through another id in its lines, such as its endpoint, without naming it. */
 const relatedEvents: Readonly<Partial<Record<SubjectKind, ReadonlySet<string>>>> = {
 	batch: new Set([
 		'batch_accepted',
@@ -45,47 +45,47 @@
 	host: new Set(['started', 'draining', 'drained', 'store_lost', 'store_regained', 'store_way_lost', 'store_way_regained', 'heartbeat_failed', 'commit_failed', 'history_lost']),
 };
 
-/** Time before the first and after the last line of a subject in which related lines count, in milliseconds. */
-const marginMs = 1000;
+/** Period before the first and after the last line of an id in which related lines are included, in milliseconds. */
+const relatedMarginMs = 1000;
 
-/** Most lines kept of either sort. */
-const mostLines = 5000;
+/** Maximum number of lines kept that name the id, and of related lines. */
+const maxLines = 5000;
 
-/** One line of a history; `timeMs` is on the middle of the hosts' clocks. */
+/** One line of a history. `timeMs` is corrected by the host's clock offset. */
 export type ExplainedLine = {timeMs: number; host: string; event: string; values: Record<string, string>; isRelated: boolean};
 
 /** The history of an id. */
 export type Explanation = {
 	id: string;
-	/** Under which key lines name it; undefined if none does, so that nothing was found. */
+	/** Kind of the id; undefined if no line names it. */
 	kind: SubjectKind | undefined;
 	lines: ExplainedLine[];
-	/** Place of the line that decided, among `lines`; undefined if none does yet. */
+	/** Index in `lines` of the line that decided the outcome; undefined if there is none yet. */
 	decided: number | undefined;
-	/** How far clocks of hosts were put right, in milliseconds. */
+	/** Clock offsets by which the times of hosts were corrected, in milliseconds. */
 	offsets: Record<string, number>;
-	/** Lines left out beyond the bound. */
+	/** Number of lines left out because there were too many. */
 	omitted: number;
-	/** What the logs hold altogether. */
-	count: ReadingCount;
+	/** Lines read from the logs. */
+	count: LineCounts;
 };
 
-/** Other keys under which lines name something, and its kind. */
-const otherKeys: ReadonlyMap<string, SubjectKind> = new Map([
+/** Kinds of the ids under keys that are not named after the kind. */
+const aliasKeys: ReadonlyMap<string, SubjectKind> = new Map([
 	['to', 'endpoint'], ['peer', 'host'], ['shard', 'lease'], ['versions', 'version'], ['published', 'version'],
 ]);
 
-/** The kind of what lines name under a key; undefined if the key names nothing, so that a count is never taken for an id. */
+/** Returns the kind of the ids under a key; undefined if the key holds no id, so that a count is never treated as an id. */
 function findKind(key: string): SubjectKind | undefined {
-	return kindKeys.find(kind => kind === key) ?? otherKeys.get(key);
+	return kindKeys.find(kind => kind === key) ?? aliasKeys.get(key);
 }
 
-/** Whether a value names the id, alone or in a list. */
+/** Whether a value is the id or a list that contains it. */
 function namesId(value: string, id: string): boolean {
 	return value === id || (value.includes(id) && value.split(/[\s,]/v).includes(id));
 }
 
-/** Kinds under which a line names the id. */
+/** Returns the kinds under which a line names the id. */
 function listKinds({values}: LogLine, id: string): SubjectKind[] {
 	return [...values].flatMap(([key, value]) => {
 		const kind = namesId(value, id) ? findKind(key) : undefined;
@@ -93,8 +93,8 @@
 	});
 }
 
-/** Lines that name an id, and what these name besides. */
-class Subject {
+/** Collects the lines that name an id, and the other ids in them. */
+class SubjectLines {
 	readonly lines: LogLine[] = [];
 	omitted = 0;
 	readonly #id: string;
@@ -118,22 +118,22 @@
 			this.#kinds.add(kind);
 		}
 
-		if (this.lines.length < mostLines) {
+		if (this.lines.length < maxLines) {
 			this.lines.push(line);
 		} else {
 			this.omitted += 1;
 		}
 	}
 
-	/** Names of a kind in its lines, other than its own. */
+	/** Returns the ids of a kind in these lines, without the id itself. */
 	listNames(kind: SubjectKind): Set<string> {
 		const names = this.lines.map(({values, host}) => kind === 'host' ? host : values.get(kind));
 		return new Set(names.flatMap(name => name === undefined || name === '' || name === this.#id ? [] : [name]));
 	}
 }
 
-/** What happened meanwhile to whatever was named with a subject. */
-class Surroundings {
+/** Collects the events of ids that were named together with an id, in the period of its lines. */
+class RelatedLines {
 	readonly lines: LogLine[] = [];
 	omitted = 0;
 	readonly #id: string;
@@ -142,48 +142,48 @@
 	readonly #from: number;
 	readonly #to: number;
 
-	/** @param offsets - of hosts' clocks, in milliseconds */
-	constructor(id: string, subject: Subject, offsets: ReadonlyMap<string, number>) {
+	/** @param offsets - clock offsets by host, in milliseconds */
+	constructor(id: string, subject: SubjectLines, offsets: ReadonlyMap<string, number>) {
 		this.#id = id;
 		this.#offsets = offsets;
 		const kinds: SubjectKind[] = ['batch', 'endpoint', 'host'];
 		this.#names = new Map(kinds.map(kind => [kind, subject.listNames(kind)]));
-		const times = subject.lines.map(line => putRight(line, offsets)).toSorted((a, b) => a - b);
-		this.#from = times[0]! - marginMs;
-		this.#to = times.at(-1)! + marginMs;
+		const times = subject.lines.map(line => correctTime(line, offsets)).toSorted((a, b) => a - b);
+		this.#from = times[0]! - relatedMarginMs;
+		this.#to = times.at(-1)! + relatedMarginMs;
 	}
 
 	add(line: LogLine): void {
-		const timeMs = putRight(line, this.#offsets);
-		if (timeMs < this.#from || timeMs > this.#to || !this.#concerns(line) || listKinds(line, this.#id).length > 0) {
+		const timeMs = correctTime(line, this.#offsets);
+		if (timeMs < this.#from || timeMs > this.#to || !this.#matches(line) || listKinds(line, this.#id).length > 0) {
 			return;
 		}
 
-		if (this.lines.length < mostLines) {
+		if (this.lines.length < maxLines) {
 			this.lines.push(line);
 		} else {
 			this.omitted += 1;
 		}
 	}
 
-	#concerns({event, host, values}: LogLine): boolean {
+	#matches({event, host, values}: LogLine): boolean {
 		return [...this.#names].some(([kind, names]) => relatedEvents[kind]!.has(event) && names.has(kind === 'host' ? host : values.get(kind) ?? ''));
 	}
 }
 
-/** Place of the line that decided: the last one of the most decisive event that there is. */
-function findDecided(lines: readonly ExplainedLine[], kind: SubjectKind): number | undefined {
+/** Returns the index of the line that decided the outcome: the last line with the most decisive event that occurs. */
+function findDecisiveLine(lines: readonly ExplainedLine[], kind: SubjectKind): number | undefined {
 	for (const event of decisiveEvents[kind]) {
-		const place = lines.findLastIndex(line => !line.isRelated && line.event === event);
-		if (place !== -1) {
-			return place;
+		const index = lines.findLastIndex(line => !line.isRelated && line.event === event);
+		if (index !== -1) {
+			return index;
 		}
 	}
 
 	return undefined;
 }
 
-/** Causes before their effects at one moment: what comes first of lines that clocks can't order. */
+/** Orders lines by time. At equal times related lines come first, since they are more likely the cause. */
 function compareLines(a: ExplainedLine, b: ExplainedLine): number {
 	return a.timeMs - b.timeMs || Number(b.isRelated) - Number(a.isRelated);
 }
@@ -191,16 +191,16 @@
 /**
  * Rebuilds the history of an id.
  *
- * @param files - logs of any number of hosts
+ * @param files - log files of any number of hosts
  * @throws {LogFileError}
  */
 export async function explainId(id: string, files: readonly string[]): Promise<Explanation> {
 	const clocks = new HostClocks();
-	const subject = new Subject(id);
+	const subject = new SubjectLines(id);
 	const count = await readLines(files, line => {
 		clocks.add(line);
 		subject.add(line);
-	}, text => text.includes(id) || HostClocks.concerns(text));
+	}, text => text.includes(id) || HostClocks.matches(text));
 	const {kind} = subject;
 	if (kind === undefined) {
 		return {
@@ -209,19 +209,19 @@
 	}
 
 	const offsets = clocks.findOffsets();
-	const surroundings = new Surroundings(id, subject, offsets);
-	const mark = createEventPattern(Object.values(relatedEvents).flatMap(events => [...events]));
+	const related = new RelatedLines(id, subject, offsets);
+	const relatedPattern = createEventPattern(Object.values(relatedEvents).flatMap(events => [...events]));
 	await readLines(files, line => {
-		surroundings.add(line);
-	}, text => mark.test(text));
+		related.add(line);
+	}, text => relatedPattern.test(text));
 	const toExplained = (isRelated: boolean) => (line: LogLine): ExplainedLine => ({
-		timeMs: putRight(line, offsets), host: line.host, event: line.event, values: Object.fromEntries([...line.values].filter(([key]) => !leadKeys.has(key))), isRelated,
+		timeMs: correctTime(line, offsets), host: line.host, event: line.event, values: Object.fromEntries([...line.values].filter(([key]) => !prefixKeys.has(key))), isRelated,
 	});
-	const lines = [...subject.lines.map(toExplained(false)), ...surroundings.lines.map(toExplained(true))].toSorted(compareLines);
+	const lines = [...subject.lines.map(toExplained(false)), ...related.lines.map(toExplained(true))].toSorted(compareLines);
 	return {
-		id, kind, lines, decided: findDecided(lines, kind), offsets: Object.fromEntries(offsets), omitted: subject.omitted + surroundings.omitted, count,
+		id, kind, lines, decided: findDecisiveLine(lines, kind), offsets: Object.fromEntries(offsets), omitted: subject.omitted + related.omitted, count,
 	};
 }
 
-/** Values that each line begins with. */
-const leadKeys: ReadonlySet<string> = new Set(['time', 'level', 'program', 'event']);
+/** Keys that every line starts with. */
+const prefixKeys: ReadonlySet<string> = new Set(['time', 'level', 'program', 'event']);
--- a/packages/logs/src/host-clocks.ts
+++ b/packages/logs/src/host-clocks.ts
@@ -1,70 +1,71 @@
 /**
- * How far the clocks of hosts are apart, by events that all hosts see at nearly the same moment.
+ * Estimates the clock offsets of hosts from events that all hosts log at nearly the same time.
  *
- * Hosts learn of a configuration or a published version within some tenths of a second of each other. What a host's lines of such events are off
- * from the middle of all hosts is its clock's offset; the middle over many events leaves out a host that was once late to learn.
+ * Hosts receive a configuration or a published version within some tenths of a second of each other. For each such event, the difference
+ * between a host's time and the median of all hosts is a sample of its clock's offset. The median over many events ignores single events that
+ * a host received late.
  */
 import {findMiddle} from '@wasabiusher/shared';
 import type {LogLine} from './line.js';
 
-/** Events that all hosts log, and the values that tell which one it is. */
+/** Events that all hosts log, with the keys whose values identify one occurrence. */
 const sharedEvents: ReadonlyMap<string, readonly string[]> = new Map([
 	['configuration_adopted', ['version']],
 	['version_published', ['model', 'version']],
 	['endpoint_removed', ['endpoint']],
 ]);
 
-/** Offset from which clocks count as apart, in milliseconds: hosts learn of the same event at different times. */
-const leastOffsetMs = 500;
+/** Smallest offset that is corrected, in milliseconds. Smaller ones can't be told from the different times at which hosts receive an event. */
+const minOffsetMs = 500;
 
-/** Finds the lines of some events by their text, before they are taken apart. */
+/** Returns a pattern that matches the text of lines of the given events, so that other lines need not be parsed. */
 export function createEventPattern(events: Iterable<string>): RegExp {
 	return new RegExp(`event=(?:${[...new Set(events)].join('|')}) `, 'v');
 }
 
-const sharedPattern = createEventPattern(sharedEvents.keys());
+const sharedEventPattern = createEventPattern(sharedEvents.keys());
 
-/** When a line was written, on the middle of the hosts' clocks, in milliseconds since 1970. */
-export function putRight({timeMs, host}: LogLine, offsets: ReadonlyMap<string, number>): number {
+/** Returns the time of a line corrected by its host's clock offset, in milliseconds since the epoch. */
+export function correctTime({timeMs, host}: LogLine, offsets: ReadonlyMap<string, number>): number {
 	return timeMs - (offsets.get(host) ?? 0);
 }
 
-/** Gathers what hosts have logged of the same events. */
+/** Collects the times at which hosts logged the same events. */
 export class HostClocks {
-	/** Whether a line may tell of such an event, by its text. */
-	static concerns(text: string): boolean {
-		return sharedPattern.test(text);
+	/** Whether the text of a line contains an event that all hosts log. */
+	static matches(text: string): boolean {
+		return sharedEventPattern.test(text);
 	}
 
-	/** Times by event, and in it by host. */
-	readonly #times = new Map<string, Map<string, number>>();
+	/** Times in milliseconds by host, by event occurrence. */
+	readonly #timesByEvent = new Map<string, Map<string, number>>();
 
-	/** Takes in a line; others than of shared events are left out. */
+	/** Adds a line. Events that not all hosts log are ignored. */
 	add({event, host, timeMs, values}: LogLine): void {
 		const keys = sharedEvents.get(event);
 		if (!keys) {
 			return;
 		}
 
-		const name = [event, ...keys.map(key => values.get(key) ?? '')].join(' ');
-		const times = this.#times.get(name) ?? new Map<string, number>();
-		this.#times.set(name, times);
-		// After a restart a host learns of old news once more.
+		const occurrence = [event, ...keys.map(key => values.get(key) ?? '')].join(' ');
+		const times = this.#timesByEvent.get(occurrence) ?? new Map<string, number>();
+		this.#timesByEvent.set(occurrence, times);
+		// After a restart a host logs earlier events again; only the first time counts.
 		if (!times.has(host)) {
 			times.set(host, timeMs);
 		}
 	}
 
-	/** How far each host's clock is before the others', in milliseconds; hosts whose clocks agree are left out. */
+	/** Returns by how much each host's clock is ahead of the median, in milliseconds. Hosts with smaller offsets than the minimum are left out. */
 	findOffsets(): Map<string, number> {
 		const offsets = new Map<string, number[]>();
-		for (const times of this.#times.values()) {
-			const middle = findMiddle([...times.values()])!;
+		for (const times of this.#timesByEvent.values()) {
+			const median = findMiddle([...times.values()])!;
 			for (const [host, timeMs] of times) {
-				offsets.set(host, [...offsets.get(host) ?? [], timeMs - middle]);
+				offsets.set(host, [...offsets.get(host) ?? [], timeMs - median]);
 			}
 		}
 
-		return new Map([...offsets].map(([host, found]) => [host, findMiddle(found)!] as const).filter(([, offset]) => Math.abs(offset) >= leastOffsetMs));
+		return new Map([...offsets].map(([host, samples]) => [host, findMiddle(samples)!] as const).filter(([, offset]) => Math.abs(offset) >= minOffsetMs));
 	}
 }
--- a/packages/logs/src/index.ts
+++ b/packages/logs/src/index.ts
@@ -1,4 +1,4 @@
-/** What the logs of any number of hosts tell afterwards: of steps, and where their time went. */
+/** Analyses the logs of any number of hosts: the history of an id, and reports on steps and runs with the time that each phase took. */
 export * from './explain.js';
 export * from './host-clocks.js';
 export * from './line.js';
--- a/packages/logs/src/line.ts
+++ b/packages/logs/src/line.ts
@@ -1,15 +1,15 @@
 /**
- * Lines of the logs: `key=value` pairs, as `formatLine` of the shared package writes them.
+ * Parses log lines: `key=value` pairs, as `formatLine` of the shared package writes them.
  *
- * What stands before `time=` may have been put there by whoever gathered the logs of several hosts in one file; its last word is
- * taken for the host.
+ * A tool that collects the logs of several hosts in one file may put a prefix before `time=`. The last word of the prefix counts as the
+ * host.
  */
 
 /** One event of one host. */
 export type LogLine = {
-	/** Where it was written; empty if the file does not tell. */
+	/** Host that wrote the line; empty if the line has no prefix. */
 	host: string;
-	/** On the host's own clock, in milliseconds since 1970. */
+	/** Time on the host's own clock, in milliseconds since the epoch. */
 	timeMs: number;
 	event: string;
 	values: ReadonlyMap<string, string>;
@@ -17,18 +17,18 @@
 
 const pairPattern = /(?<key>[\w\-]+)=(?<value>"(?:[^"\\]|\\.)*"|\S*)/gv;
 
-const timeMark = 'time=';
+const timePrefix = 'time=';
 
-/** Reads a line; undefined if it is none of ours, or was cut. */
+/** Parses a line; returns undefined if another program wrote it or if it is truncated. */
 export function parseLine(text: string): LogLine | undefined {
-	const start = text.indexOf(timeMark);
+	const start = text.indexOf(timePrefix);
 	if (start === -1) {
 		return undefined;
 	}
 
 	const values = new Map<string, string>();
 	for (const {groups} of text.slice(start).matchAll(pairPattern)) {
-		const value = unquote(groups!.value!);
+		const value = parseValue(groups!.value!);
 		if (value === undefined) {
 			return undefined;
 		}
@@ -47,8 +47,8 @@
 	};
 }
 
-/** The text of a value; undefined if its quotation does not end. */
-function unquote(value: string): string | undefined {
+/** Removes the quotes and escapes of a value; returns undefined if the closing quote is missing. */
+function parseValue(value: string): string | undefined {
 	if (!value.startsWith('"')) {
 		return value;
 	}
@@ -56,12 +56,12 @@
 	try {
 		return String(JSON.parse(value));
 	} catch {
-		// A line that was cut in its middle; the caller counts it.
+		// The line is truncated; the caller counts it as skipped.
 		return undefined;
 	}
 }
 
-/** A value as a number; undefined if there is none. */
+/** Returns the value of a key as a number; undefined if it is missing or not a finite number. */
 export function readNumber({values}: LogLine, key: string): number | undefined {
 	const number = Number(values.get(key) ?? Number.NaN);
 	return Number.isFinite(number) ? number : undefined;
--- a/packages/logs/src/read-lines.ts
+++ b/packages/logs/src/read-lines.ts
@@ -1,5 +1,5 @@
 /**
- * Reads log files line by line, so that their size does not matter.
+ * Reads log files line by line, so that memory use does not depend on their size.
  */
 import {createReadStream} from 'node:fs';
 import {describeError, LayerError} from '@wasabiusher/shared';
@@ -10,36 +10,36 @@
 	override readonly name = 'LogFileError';
 }
 
-/** What a reading has come across. */
-export type ReadingCount = {lines: number; skipped: number};
+/** Lines that were read, and those of them that could not be parsed. */
+export type LineCounts = {lines: number; skipped: number};
 
-/** Part of a file that is read at once, in bytes. */
+/** Size of the chunks in which a file is read, in bytes. */
 const chunkBytes = 1_048_576;
 
-/** The lines of each part of a stream; a line that goes on in the next part comes with that one. */
+/** Yields the lines of each chunk of a stream. A line that continues in the next chunk is yielded with that chunk. */
 async function * splitLines(stream: AsyncIterable<string>): AsyncIterable<string[]> {
-	let rest = '';
+	let incompleteLine = '';
 	for await (const chunk of stream) {
-		const texts = `${rest}${chunk}`.split('\n');
-		rest = texts.pop()!;
-		yield texts;
+		const rawLines = `${incompleteLine}${chunk}`.split('\n');
+		incompleteLine = rawLines.pop()!;
+		yield rawLines;
 	}
 
-	if (rest !== '') {
-		yield [rest];
+	if (incompleteLine !== '') {
+		yield [incompleteLine];
 	}
 }
 
-function takeLines(texts: readonly string[], count: ReadingCount, take: (line: LogLine) => void, filter: (text: string) => boolean): void {
-	for (const text of texts) {
+function processLines(rawLines: readonly string[], count: LineCounts, processLine: (line: LogLine) => void, shouldParse: (text: string) => boolean): void {
+	for (const text of rawLines) {
 		count.lines += 1;
-		if (!filter(text)) {
+		if (!shouldParse(text)) {
 			continue;
 		}
 
 		const line = parseLine(text);
 		if (line) {
-			take(line);
+			processLine(line);
 		} else {
 			count.skipped += 1;
 		}
@@ -47,20 +47,20 @@
 }
 
 /**
- * Hands on each line of the files, one file after the other.
+ * Passes each line of the files to a callback, one file after the other.
  *
- * @param filter - whether a line may matter, judged by its text before it is taken apart
- * @returns how many lines there were, and how many of them were none of ours or were cut
+ * @param shouldParse - whether a line is relevant, judged by its text before it is parsed
+ * @returns the number of lines read, and how many of them other programs wrote or were truncated
  * @throws {LogFileError}
  */
-export async function readLines(files: readonly string[], take: (line: LogLine) => void, filter: (text: string) => boolean = () => true): Promise<ReadingCount> {
+export async function readLines(files: readonly string[], processLine: (line: LogLine) => void, shouldParse: (text: string) => boolean = () => true): Promise<LineCounts> {
 	const count = {lines: 0, skipped: 0};
 	for (const file of files) {
 		try {
-			// One file after the other, since their lines are counted together.
+			// The files are read one after the other, since they share one count.
 			// eslint-disable-next-line no-await-in-loop
-			for await (const texts of splitLines(createReadStream(file, {encoding: 'utf8', highWaterMark: chunkBytes}))) {
-				takeLines(texts, count, take, filter);
+			for await (const rawLines of splitLines(createReadStream(file, {encoding: 'utf8', highWaterMark: chunkBytes}))) {
+				processLines(rawLines, count, processLine, shouldParse);
 			}
 		} catch (error) {
 			throw new LogFileError('unreadable', `${file}: the file can not be read: ${describeError(error)}`, error);
--- a/packages/logs/src/slot-use.ts
+++ b/packages/logs/src/slot-use.ts
@@ -1,16 +1,16 @@
 /**
- * How many slots of each endpoint were in use over time, and by which model.
+ * Measures how many slots of each endpoint were in use over time, by model.
  */
 import {groupBy} from '@wasabiusher/shared';
 import type {EndpointUse} from './step-history.js';
 
-/** Mean slots in use in each interval, for one endpoint and model. */
+/** Mean number of slots in use in each interval, for one endpoint and model. */
 export type SlotUse = {endpoint: string; model: string; used: number[]};
 
 /**
- * Mean use in intervals of `stepMs` from `from` to `to`, in milliseconds since 1970.
+ * Measures the mean use in intervals of `stepMs` milliseconds from `from` to `to`, both in milliseconds since the epoch.
  *
- * @returns one entry for each endpoint and model that was used, by model, then by endpoint
+ * @returns one entry per endpoint and model in use, sorted by model, then by endpoint
  */
 export function measureSlots(runs: readonly EndpointUse[], from: number, to: number, stepMs: number): SlotUse[] {
 	const intervals = Math.max(1, Math.ceil((to - from) / stepMs));
--- a/packages/logs/src/step-history.ts
+++ b/packages/logs/src/step-history.ts
@@ -1,9 +1,9 @@
 /**
- * What the logs tell of each step: when it was asked, how each text was made and listed, when it ended.
+ * Rebuilds the history of each step from log lines: when it was requested, how each text was generated and its result listed, and when it ended.
  */
 import {readNumber, type LogLine} from './line.js';
 
-/** Times of a text by phase, in milliseconds; `direct` counts them. */
+/** Time of a generation by phase, in milliseconds, as the `direct` package measures it. Each phase is a log field with the suffix `Ms`. */
 export type PhaseTimes = {
 	waited: number;
 	refused: number;
@@ -14,49 +14,51 @@
 	broken: number;
 };
 
-/** How a text became whole. */
-export type TextHistory = {
+/** How a text was generated; members are named after the log fields. */
+export type GenerationHistory = {
 	endpoint: string;
-	wholeAt: number;
+	/** In milliseconds since the epoch. */
+	completedAt: number;
 	events: number;
-	/** Events that were there before. */
+	/** Events that earlier owners or steps generated, and that were retained. */
 	kept: number;
 	runs: number;
 	tookMs: number;
 	phases: PhaseTimes;
 };
 
-/** How a sample's result was listed. */
+/** When a sample's result was listed, and its position in the results; members are named after the log fields. */
 export type ListedHistory = {listedAt: number; position: number; share: number; group: string; events: number; scoredMs: number; committedMs: number};
 
-/** When the first owner of a share began it, and its last one. */
+/** When the first owner of a share began it (`begunAt`), and when its last owner did (`ownedAt`). */
 export type ShareHistory = {begunAt: number; ownedAt: number};
 
-/** One step; times in milliseconds since 1970 on the clock of the host that ran it. */
+/** One step. Times are in milliseconds since the epoch, on the clock of the host that ran it. */
 export type StepHistory = {
 	batch: string;
-	/** What steps of one trainer have in common. */
+	/** Name of the trainer, which all of its steps share. */
 	series: string;
 	step: number;
 	model: string;
 	askedAt: number;
-	/** By the share's number. */
+	/** Shares by their number. */
 	shares: Map<number, ShareHistory>;
-	/** Owners of all shares, one after the other or side by side. */
+	/** Number of owners over all shares, whether in succession or at the same time. */
 	owners: number;
 	total: number;
 	wanted: number;
 	groups: number;
 	endedAt: number | undefined;
-	texts: Map<string, TextHistory>;
+	generations: Map<string, GenerationHistory>;
 	listed: Map<string, ListedHistory>;
-	reads: Array<{readAt: number; beyond: number}>;
+	/** Reads of the results by the trainer; `endPosition` is the position after the last result read. */
+	reads: Array<{readAt: number; endPosition: number}>;
 };
 
-/** A run at an endpoint, or the load of weights there. */
+/** A run at an endpoint, or a load of weights there; times in milliseconds since the epoch. */
 export type EndpointUse = {endpoint: string; model: string; from: number; to: number};
 
-/** Gathers lines; those of other events are ignored. */
+/** Collects the histories of steps from log lines. Lines of unrelated events are ignored. */
 export class StepHistories {
 	readonly steps = new Map<string, StepHistory>();
 	readonly runs: EndpointUse[] = [];
@@ -66,31 +68,31 @@
 		handlers.get(line.event)?.(this, line);
 	}
 
-	/** Steps in the order in which they were asked. */
+	/** Returns the steps in the order in which they were requested. */
 	list(): StepHistory[] {
 		return [...this.steps.values()].toSorted((a, b) => a.askedAt - b.askedAt);
 	}
 }
 
-function readText({values}: LogLine, key: string): string {
+function readString({values}: LogLine, key: string): string {
 	return values.get(key) ?? '';
 }
 
 function findStep(histories: StepHistories, line: LogLine): StepHistory | undefined {
-	return histories.steps.get(readText(line, 'batch'));
+	return histories.steps.get(readString(line, 'batch'));
 }
 
-function noteBegun({steps}: StepHistories, line: LogLine): void {
-	const batch = readText(line, 'batch');
+function recordBegin({steps}: StepHistories, line: LogLine): void {
+	const batch = readString(line, 'batch');
 	const known = steps.get(batch);
 	const share = readNumber(line, 'share') ?? 0;
 	const shares = known?.shares ?? new Map<number, ShareHistory>();
 	shares.set(share, {begunAt: shares.get(share)?.begunAt ?? line.timeMs, ownedAt: line.timeMs});
 	const begun: StepHistory = {
 		batch,
-		series: readText(line, 'series'),
+		series: readString(line, 'series'),
 		step: readNumber(line, 'step') ?? Number.NaN,
-		model: readText(line, 'model'),
+		model: readString(line, 'model'),
 		askedAt: known?.askedAt ?? line.timeMs - (readNumber(line, 'ageMs') ?? 0),
 		shares,
 		owners: (known?.owners ?? 0) + 1,
@@ -98,7 +100,7 @@
 		wanted: readNumber(line, 'wanted') ?? 0,
 		groups: readNumber(line, 'groups') ?? 0,
 		endedAt: known?.endedAt,
-		texts: known?.texts ?? new Map<string, TextHistory>(),
+		generations: known?.generations ?? new Map<string, GenerationHistory>(),
 		listed: known?.listed ?? new Map<string, ListedHistory>(),
 		reads: known?.reads ?? [],
 	};
@@ -112,17 +114,17 @@
 	};
 }
 
-function noteText(histories: StepHistories, line: LogLine): void {
+function recordGeneration(histories: StepHistories, line: LogLine): void {
 	const step = findStep(histories, line);
-	const sample = readText(line, 'sample');
-	// A second text for a later step, or one that came after the result, decides nothing here.
+	const sample = readString(line, 'sample');
+	// Ignores regenerations for a later step and generations that completed after the result was listed: neither affects this step's time.
 	if (!step || step.listed.has(sample) || line.timeMs - (readNumber(line, 'tookMs') ?? 0) < step.askedAt) {
 		return;
 	}
 
-	step.texts.set(sample, {
-		endpoint: readText(line, 'endpoint'),
-		wholeAt: line.timeMs,
+	step.generations.set(sample, {
+		endpoint: readString(line, 'endpoint'),
+		completedAt: line.timeMs,
 		events: readNumber(line, 'events') ?? 0,
 		kept: readNumber(line, 'kept') ?? 0,
 		runs: readNumber(line, 'runs') ?? 0,
@@ -131,8 +133,8 @@
 	});
 }
 
-function noteListed(histories: StepHistories, line: LogLine): void {
-	const sample = readText(line, 'sample');
+function recordListed(histories: StepHistories, line: LogLine): void {
+	const sample = readString(line, 'sample');
 	findStep(histories, line)?.listed.set(sample, {
 		listedAt: line.timeMs,
 		position: readNumber(line, 'position') ?? 0,
@@ -144,20 +146,20 @@
 	});
 }
 
-function noteUse(uses: EndpointUse[], line: LogLine, lasted: string): void {
+function recordUse(uses: EndpointUse[], line: LogLine, durationField: string): void {
 	uses.push({
-		endpoint: readText(line, 'endpoint'), model: readText(line, 'model'), from: line.timeMs - (readNumber(line, lasted) ?? 0), to: line.timeMs,
+		endpoint: readString(line, 'endpoint'), model: readString(line, 'model'), from: line.timeMs - (readNumber(line, durationField) ?? 0), to: line.timeMs,
 	});
 }
 
-type Handler = (histories: StepHistories, line: LogLine) => void;
+type LineHandler = (histories: StepHistories, line: LogLine) => void;
 
-const handlers: ReadonlyMap<string, Handler> = new Map<string, Handler>([
-	['batch_begun', noteBegun],
-	['text_made', noteText],
-	['result_listed', noteListed],
+const handlers: ReadonlyMap<string, LineHandler> = new Map<string, LineHandler>([
+	['batch_begun', recordBegin],
+	['text_made', recordGeneration],
+	['result_listed', recordListed],
 	['results_read', (histories, line) => {
-		findStep(histories, line)?.reads.push({readAt: line.timeMs, beyond: (readNumber(line, 'after') ?? 0) + (readNumber(line, 'results') ?? 0)});
+		findStep(histories, line)?.reads.push({readAt: line.timeMs, endPosition: (readNumber(line, 'after') ?? 0) + (readNumber(line, 'results') ?? 0)});
 	}],
 	['batch_ended', (histories, line) => {
 		const step = findStep(histories, line);
@@ -167,13 +169,13 @@
 	}],
 	['run_ended', (histories, line) => {
 		if (line.values.get('status') === '200') {
-			noteUse(histories.runs, line, 'tookMs');
+			recordUse(histories.runs, line, 'tookMs');
 		}
 	}],
 	['weights_loaded', (histories, line) => {
-		noteUse(histories.loads, line, 'elapsedMs');
+		recordUse(histories.loads, line, 'elapsedMs');
 	}],
 ]);
 
-/** Events that the histories are made of; other lines need not be taken apart. */
+/** Events that the histories are built from. Lines of other events need not be parsed. */
 export const stepEvents: readonly string[] = [...handlers.keys()];
--- a/packages/logs/src/step-plot.ts
+++ b/packages/logs/src/step-plot.ts
@@ -1,5 +1,5 @@
 /**
- * Plots of text: a bar for each step from asked to whole, and the slots in use.
+ * Plots as text: a bar for each step from its request to its end, and the slots in use.
  */
 import type {ReportedStep} from './steps-report.js';
 import type {SlotUse} from './slot-use.js';
@@ -7,13 +7,13 @@
 /** Width of a plot, in characters. */
 const plotWidth = 100;
 
-/** Signs of use, from none to all of the most that any endpoint had. */
+/** Characters for the use of slots, from none to the maximum over all endpoints. */
 const levels = ' .:-=+*#%@';
 
-/** One bar a step: `=` up to the least possible time, `#` beyond it until it was whole, `.` until it ended. */
+/** Returns one line per step with a bar: `=` up to the lower bound, `#` from there until the step was complete, `.` until it ended. */
 export function plotSteps(steps: readonly ReportedStep[], from: number, to: number): string[] {
-	const perCharacter = Math.max(1, (to - from) / plotWidth);
-	const column = (timeMs: number) => Math.round((timeMs - from) / perCharacter);
+	const msPerCharacter = Math.max(1, (to - from) / plotWidth);
+	const column = (timeMs: number) => Math.round((timeMs - from) / msPerCharacter);
 	return steps.map(({trainer, step, askedAt, boundMs, wholeMs, endedMs}) => {
 		const begin = column(askedAt);
 		const bound = column(askedAt + Math.min(boundMs ?? 0, wholeMs ?? 0));
@@ -24,11 +24,11 @@
 	});
 }
 
-/** One line for each endpoint and model. */
+/** Returns one line per endpoint and model. */
 export function plotSlots(uses: readonly SlotUse[]): string[] {
-	const most = Math.max(1, ...uses.flatMap(({used}) => used));
+	const maxUsed = Math.max(1, ...uses.flatMap(({used}) => used));
 	return uses.map(({model, endpoint, used}) => {
-		const bar = used.map(slots => levels[Math.min(levels.length - 1, Math.ceil((slots / most) * (levels.length - 1)))]).join('');
+		const bar = used.map(slots => levels[Math.min(levels.length - 1, Math.ceil((slots / maxUsed) * (levels.length - 1)))]).join('');
 		return `${model} ${endpoint} |${bar}| most ${Math.max(...used).toFixed(1)}`;
 	});
 }
--- a/packages/logs/src/steps-report.ts
+++ b/packages/logs/src/steps-report.ts
@@ -1,5 +1,5 @@
 /**
- * The report on steps: what each waited for, how much of that was above the least possible, and what it adds up to by trainer.
+ * Reports on steps: what each one waited for, how far its time exceeds the lower bound, and the totals by trainer.
  */
 import {groupBy} from '@wasabiusher/shared';
 import {measureSlots, type SlotUse} from './slot-use.js';
@@ -8,10 +8,10 @@
 } from './step-chain.js';
 import type {StepHistories, StepHistory} from './step-history.js';
 
-/** Interval of the slots' use, in milliseconds. */
+/** Interval over which slot use is averaged, in milliseconds. */
 const slotStepMs = 500;
 
-/** One step as it is reported; times in milliseconds from `askedAt` on. */
+/** One step of the report. `askedAt` is in milliseconds since the epoch; the other times are in milliseconds from `askedAt`. */
 export type ReportedStep = {
 	trainer: string;
 	step: number;
@@ -24,15 +24,15 @@
 	chain: StepChain | undefined;
 };
 
-/** Sums over the steps of one trainer. */
-export type TrainerSum = {
+/** Totals and means over the steps of one trainer. */
+export type TrainerSummary = {
 	trainer: string;
 	steps: number;
-	/** Steps that never had the groups that were waited for. */
+	/** Steps that never had as many complete groups as the trainer waited for. */
 	unfinished: number;
 	meanWholeMs: number;
 	meanBoundMs: number;
-	/** Time for which the trainer waited beyond the least possible, over all steps, in milliseconds. */
+	/** Time that the trainer waited beyond the lower bounds, summed over all steps, in milliseconds. */
 	lostMs: number;
 	/** Mean of each link of the chains, in milliseconds. */
 	links: ReadonlyMap<ChainLink, number>;
@@ -43,25 +43,25 @@
 	to: number;
 	bestPaceMs: number | undefined;
 	steps: ReportedStep[];
-	trainers: TrainerSum[];
+	trainers: TrainerSummary[];
 	slots: SlotUse[];
 	slotStepMs: number;
 	loads: number;
 };
 
-/** Makes the report. */
+/** Builds the report. */
 export function reportSteps(histories: StepHistories): StepsReport {
-	const known = histories.list();
-	const bestPaceMs = findBestPace(known);
-	const steps = known.map(step => reportStep(step, bestPaceMs)).toSorted((a, b) => a.trainer.localeCompare(b.trainer) || a.askedAt - b.askedAt);
-	const times = [...known.map(({askedAt}) => askedAt), ...histories.runs.map(({to}) => to)];
+	const stepHistories = histories.list();
+	const bestPaceMs = findBestPace(stepHistories);
+	const steps = stepHistories.map(step => reportStep(step, bestPaceMs)).toSorted((a, b) => a.trainer.localeCompare(b.trainer) || a.askedAt - b.askedAt);
+	const times = [...stepHistories.map(({askedAt}) => askedAt), ...histories.runs.map(({to}) => to)];
 	const {from, to} = findSpan(times);
 	return {
 		from,
 		to,
 		bestPaceMs,
 		steps,
-		trainers: [...groupBy(steps, ({trainer}) => trainer)].map(([trainer, own]) => sumTrainer(trainer, own)),
+		trainers: [...groupBy(steps, ({trainer}) => trainer)].map(([trainer, trainerSteps]) => summarizeTrainer(trainer, trainerSteps)),
 		slots: measureSlots(histories.runs, from, to, slotStepMs),
 		slotStepMs,
 		loads: histories.loads.length,
@@ -94,16 +94,16 @@
 	};
 }
 
-function sumTrainer(trainer: string, steps: readonly ReportedStep[]): TrainerSum {
-	const whole = steps.filter(({chain}) => chain !== undefined);
-	const mean = (find: (step: ReportedStep) => number) => whole.length === 0 ? 0 : whole.reduce((sum, step) => sum + find(step), 0) / whole.length;
+function summarizeTrainer(trainer: string, steps: readonly ReportedStep[]): TrainerSummary {
+	const completeSteps = steps.filter(({chain}) => chain !== undefined);
+	const mean = (find: (step: ReportedStep) => number) => completeSteps.length === 0 ? 0 : completeSteps.reduce((sum, step) => sum + find(step), 0) / completeSteps.length;
 	return {
 		trainer,
 		steps: steps.length,
-		unfinished: steps.length - whole.length,
+		unfinished: steps.length - completeSteps.length,
 		meanWholeMs: mean(({wholeMs}) => wholeMs ?? 0),
 		meanBoundMs: mean(({boundMs}) => boundMs ?? 0),
-		lostMs: whole.reduce((sum, {wholeMs, boundMs}) => sum + Math.max(0, (wholeMs ?? 0) - (boundMs ?? 0)), 0),
+		lostMs: completeSteps.reduce((sum, {wholeMs, boundMs}) => sum + Math.max(0, (wholeMs ?? 0) - (boundMs ?? 0)), 0),
 		links: new Map(chainLinks.map(link => [link, mean(({chain}) => chain!.links[link])])),
 	};
 }
