--- a/packages/cli/__tests__/document.spec.ts
+++ b/packages/cli/__tests__/document.spec.ts
@@ -14,7 +14,7 @@
 		expect(readDocument('{"profiles": {}, "services": {}}').problems).to.deep.equal([]);
 	});
 
-	it('lists all problems at their lines', () => {
+	it('lists all problems with their lines', () => {
 		const text = [
 			'profiles:',
 			'  ranger:',
@@ -45,12 +45,12 @@
 		expect(problems[5]).to.contain('required field is missing');
 	});
 
-	it('tells bad YAML and doubled names at their lines', () => {
+	it('reports invalid YAML and duplicate names with their lines', () => {
 		expect(list('profiles: {\n')[0]).to.match(/^f:2:1: /v);
 		expect(list('profiles: {}\nservices: {}\nprofiles: {}\n')[0]).to.match(/^f:3:1: Map keys must be unique/v);
 	});
 
-	it('tells an empty document', () => {
+	it('reports an empty document as a problem', () => {
 		expect(list('')).to.have.lengthOf(1);
 	});
 });
--- a/packages/cli/__tests__/gateways-command.spec.ts
+++ b/packages/cli/__tests__/gateways-command.spec.ts
@@ -44,7 +44,7 @@
 		return {status, ...printed};
 	}
 
-	it('shows hosts, who waits, and each endpoint once with what all hosts see of it', async () => {
+	it('shows the hosts, the queued requests, and each endpoint once, merged over all hosts', async () => {
 		const origins = [await serve(createStatus('a')), await serve(createStatus('b', {storeWay: 'relayed'}))];
 		const {status, out} = await run('--gateways', origins.join(','));
 		expect(status).to.equal(0);
@@ -53,7 +53,7 @@
 		expect(out).to.match(/^a +trainer +1 +4 +250$/mv);
 	});
 
-	it('names gateways that do not answer, or answer something else, and fails only if none does', async () => {
+	it('names gateways without an answer or with an invalid one, and fails only if no gateway has a valid one', async () => {
 		const origins = [await serve(createStatus('a')), await serve({host: 'x'}), 'http://127.0.0.1:1'];
 		const {status, out} = await run('--gateways', origins.join(','), '--json');
 		expect(status).to.equal(0);
--- a/packages/cli/__tests__/program.spec.ts
+++ b/packages/cli/__tests__/program.spec.ts
@@ -50,7 +50,7 @@
 		return `http://${await server.listen('127.0.0.1:0')}`;
 	}
 
-	/** An entry that accepts changes in memory. */
+	/** Starts an entry that keeps accepted changes in memory. */
 	async function startEntry(): Promise<{origin: string; changes: AcceptedConfiguration[]; tokens: unknown[]}> {
 		const changes: AcceptedConfiguration[] = [];
 		const tokens: unknown[] = [];
@@ -81,7 +81,7 @@
 		return {origin: await listen(server), changes, tokens};
 	}
 
-	it('names an unknown command, setting or missing file, with status 2 or 1', async () => {
+	it('reports wrong usage with exit status 2, and a missing file with 1', async () => {
 		expect(await run('frobnicate')).to.deep.include({status: 2, error: 'wasabiusher: unknown command "frobnicate"; see --help'});
 		expect(await run('constructor')).to.deep.include({status: 2});
 		expect(await run('validate', '--nope', '1')).to.deep.include({status: 2, error: 'wasabiusher: unknown setting --nope; see --help'});
@@ -89,7 +89,7 @@
 		expect(await run('validate', '-f', `${file}x`)).to.deep.include({status: 1, error: `${file}x: the file can not be read`});
 	});
 
-	it('validates, for people and for programs', async () => {
+	it('prints the result of a validation as text and as JSON', async () => {
 		expect(await run('validate', '-f', file)).to.deep.include({status: 0, out: `${file}: valid, 1 profiles and 0 services`});
 		await writeFile(file, 'profiles: {}\nservice: {}\n');
 		const {status, out, error} = await run('validate', '-f', file, '--json');
@@ -98,7 +98,7 @@
 		expect(error).to.contain(`${file}:2:1: service: unknown field`);
 	});
 
-	it('shows what a change would change, and changes nothing in a dry run', async () => {
+	it('shows the differences of a change, and changes nothing in a dry run', async () => {
 		const {origin, changes, tokens} = await startEntry();
 		const {out} = await run('diff', '-f', file, '--entries', origin, '--token', '0123');
 		expect(out).to.contain('from version 0:\n+ profiles.ranger.class: "interactive"\n');
@@ -107,7 +107,7 @@
 		expect(tokens[0]).to.equal('Bearer 0123');
 	});
 
-	it('applies by its author and lists the history', async () => {
+	it('applies a change under its author\'s name and lists it in the history', async () => {
 		const {origin, changes} = await startEntry();
 		expect(await run('apply', '-f', file, '--entries', origin)).to.deep.include({status: 0});
 		await writeFile(file, document.replace('100', '200'));
@@ -118,7 +118,7 @@
 		expect(history.out.split('\n')[1]).to.match(/^2 .* mori +profiles\.ranger\.deadlineMs$/v);
 	});
 
-	it('loses a race cleanly, and shows the other change', async () => {
+	it('reports a conflict with exit status 3, and shows the change that was accepted first', async () => {
 		const {origin, changes} = await startEntry();
 		await run('apply', '-f', file, '--entries', origin, '--author', 'sato');
 		await writeFile(file, document.replace('100', '200'));
@@ -129,12 +129,12 @@
 		expect(changes).to.have.lengthOf(1);
 	});
 
-	it('asks the next entry when one can not be reached', async () => {
+	it('calls the next entry if one can not be reached', async () => {
 		const {origin} = await startEntry();
 		expect(await run('history', '--entries', `http://127.0.0.1:1,${origin}`)).to.deep.include({status: 0});
 	});
 
-	it('does not send a change again whose answer was lost, and says that it may have been accepted', async () => {
+	it('does not resend a change without an answer, and reports that it may have been accepted', async () => {
 		let posts = 0;
 		const server = new HttpServer();
 		server.on('get', '/v1/configuration', ({response}) => {
@@ -153,8 +153,8 @@
 		expect(posts).to.equal(1);
 	});
 
-	it('joins the statuses of several entries and names what is behind or silent', async () => {
-		const describe = async (name: string, version: number, agentVersion: number) => {
+	it('merges the statuses of several entries, and names processes with an older version and entries that do not answer', async () => {
+		const startStatusServer = async (name: string, version: number, agentVersion: number) => {
 			const server = new HttpServer();
 			const process = {dataCentre: 'muroran', isLeaving: false};
 			server.on('get', '/v1/status', ({response}) => {
@@ -171,7 +171,7 @@
 			return listen(server);
 		};
 
-		const origins = [await describe('entry-1', 4, 4), await describe('entry-2', 5, 3)];
+		const origins = [await startStatusServer('entry-1', 4, 4), await startStatusServer('entry-2', 5, 3)];
 		const {status, out} = await run('status', '--entries', [...origins, 'http://127.0.0.1:1'].join(','));
 		expect(status).to.equal(0);
 		expect(out).to.contain('configuration 5 is in force at 1 of 3 processes; behind: entry-1, agent-1');
@@ -179,7 +179,7 @@
 	});
 
 	describe('burn', () => {
-		const startMetrics = async (bad: number, coveredFraction: number) => {
+		const startMetricsServer = async (bad: number, coveredFraction: number) => {
 			const labels = {profile: 'ranger<', objective: 'answeredInTime'};
 			const server = new HttpServer();
 			server.on('get', '/metrics', ({response}) => {
@@ -198,8 +198,8 @@
 			return listen(server);
 		};
 
-		it('adds up entries and tells the burn, the budget left and what is missing', async () => {
-			const origins = [await startMetrics(0, 1), await startMetrics(10, 0.5)];
+		it('sums the counts of entries, and reports burn rates, the remaining budget and missing data', async () => {
+			const origins = [await startMetricsServer(0, 1), await startMetricsServer(10, 0.5)];
 			const {status, out} = await run('burn', '--metrics', [...origins, 'http://127.0.0.1:1'].join(','), '--json');
 			expect(status).to.equal(0);
 			const {rows, missing} = JSON.parse(out) as {rows: Array<Record<string, unknown>>; missing: unknown[]};
@@ -211,15 +211,15 @@
 			expect(missing).to.have.lengthOf(1);
 		});
 
-		it('fails when no entry answers, instead of showing that all is well', async () => {
+		it('fails if no entry answers, instead of reporting no burn', async () => {
 			const {status, error} = await run('burn', '--metrics', 'http://127.0.0.1:1');
 			expect(status).to.equal(1);
 			expect(error).to.contain('no figures from http://127.0.0.1:1');
 		});
 
-		it('writes one page that needs nothing else', async () => {
+		it('writes a self-contained page', async () => {
 			const page = path.join(folder, 'burn.html');
-			await run('burn', '--metrics', await startMetrics(50, 1), '--html', page);
+			await run('burn', '--metrics', await startMetricsServer(50, 1), '--html', page);
 			const html = await readFile(page, 'utf8');
 			expect(html).to.contain('ranger&lt;');
 			expect(html).not.to.match(/src=|href=|url\(/v);
--- a/packages/cli/__tests__/steps-command.spec.ts
+++ b/packages/cli/__tests__/steps-command.spec.ts
@@ -33,7 +33,7 @@
 		return file;
 	}
 
-	it('reports on the steps of several files, and counts lines that were cut', async () => {
+	it('reports on the steps in several files, and counts truncated lines as skipped', async () => {
 		const begun = write('a.log', ['time=2026-03-25T09:00:00.000Z level=info program=p event=batch_begun batch=x series=t/ step=1 model=m total=1 wanted=1 groups=1 ageMs=0']);
 		const listed = write('b.log', [
 			'time=2026-03-25T09:00:02.000Z level=info program=p event=result_listed batch=x sample=s position=0 group=g events=9 scoredMs=1 committedMs=2',
@@ -47,7 +47,7 @@
 		expect(text.out).to.include('1 steps');
 	});
 
-	it('explains an id that is named without a flag, and says in one line that there is none', async () => {
+	it('explains an id given without a flag, and reports an unknown id in one line', async () => {
 		const file = write('a.log', ['time=2026-03-25T09:00:00.000Z level=info program=p event=call_ended request=q outcome=timeout']);
 		const printed = {out: '', error: ''};
 		const explain = async (...argv: string[]) => runProgram({
@@ -64,7 +64,7 @@
 		expect(await explain('--logs', file)).to.equal(2);
 	});
 
-	it('says in one line which file can not be read, or that there is no step in it', async () => {
+	it('reports an unreadable file or a log without steps in one line', async () => {
 		const missing = await run('--logs', path.join(directory, 'absent.log'));
 		expect([missing.status, missing.error.split('\n').length]).to.deep.equal([1, 1]);
 		expect(missing.error).to.include('absent.log');
--- a/packages/cli/src/burn-command.ts
+++ b/packages/cli/src/burn-command.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher burn`: how fast the error budgets of the profiles' objectives burn.
+ * `wasabiusher burn`: reports the burn rates of the error budgets of the profiles' objectives.
  */
 import {writeFile} from 'node:fs/promises';
 import {z} from 'zod';
@@ -22,7 +22,7 @@
 	return fraction === undefined ? '-' : `${(fraction * 100).toFixed(1)}%`;
 }
 
-/** Lays out the report for people. */
+/** Formats the report for people. */
 export function formatBurnReport({rows, missing, entries}: BurnReport): string {
 	const table = formatTable(
 		['PROFILE', 'OBJECTIVE', 'TARGET', ...burnWindowNames.map(window => `BURN ${windowLabels[window]}`), `BUDGET LEFT ${budgetHours}h`, 'ALERT', 'MISSING'],
--- a/packages/cli/src/burn-page.ts
+++ b/packages/cli/src/burn-page.ts
@@ -1,5 +1,5 @@
 /**
- * The burn report as one page that needs nothing besides itself.
+ * Formats the burn report as one self-contained HTML page.
  */
 import {burnAlerts, burnWindowNames, type BurnWindow} from '@wasabiusher/decisions';
 import {
@@ -7,8 +7,8 @@
 } from './burn-report.js';
 import {formatTime} from './layout.js';
 
-/** Rate at the full width of a bar; a little beyond the most urgent alert. */
-const fullRate = 20;
+/** Burn rate at the full width of a bar, slightly above the threshold of the most urgent alert. */
+const maxBarRate = 20;
 
 const style = `
 body { font: 16px/1.5 system-ui, sans-serif; margin: 2rem auto; max-width: 70rem; padding: 0 1rem; color: #222; background: #fff; }
@@ -33,7 +33,7 @@
 
 	const alert = burnAlerts.find(({long, short}) => long === window || short === window)!;
 	const label = `${rate.toFixed(2)} times the budget's rate over ${windowLabels[window]}`;
-	return `<td class="figure">${rate.toFixed(2)}<meter min="0" max="${fullRate}" low="1" high="${alert.rate}" optimum="0" value="${Math.min(rate, fullRate)}" title="${label}"></meter></td>`;
+	return `<td class="figure">${rate.toFixed(2)}<meter min="0" max="${maxBarRate}" low="1" high="${alert.rate}" optimum="0" value="${Math.min(rate, maxBarRate)}" title="${label}"></meter></td>`;
 }
 
 function formatBudgetCell(budgetLeft: number | undefined): string {
@@ -58,7 +58,11 @@
 	].join('');
 }
 
-/** @param now - when the figures were taken, in milliseconds since the epoch */
+/**
+ * Formats the page.
+ *
+ * @param now - time at which the metrics were read, in milliseconds since the epoch
+ */
 export function formatBurnPage({rows, missing, entries}: BurnReport, now: number): string {
 	const headings = ['Profile', 'Objective', 'Target', ...burnWindowNames.map(window => `Burn ${windowLabels[window]}`), `Budget left of ${budgetHours} h`, 'Alert', 'Missing'];
 	const gaps = missing.map(({origin, reason}) => `<p class="gap">No figures from ${escapeHtml(origin)}: ${escapeHtml(reason)}</p>`);
@@ -68,7 +72,7 @@
 		'<html lang="en"><head><meta charset="utf-8"><meta name="viewport" content="width=device-width"><title>Service-level burn</title>',
 		`<style>${style}</style></head><body>`,
 		'<h1>Service-level burn</h1>',
-		`<p>${formatTime(now)}, ${entries - missing.length} of ${entries} entries. A burn of 1 spends exactly the budget; a bar is full at ${fullRate}.</p>`,
+		`<p>${formatTime(now)}, ${entries - missing.length} of ${entries} entries. A burn of 1 spends exactly the budget; a bar is full at ${maxBarRate}.</p>`,
 		...gaps,
 		`<table><thead><tr>${headings.map(heading => `<th>${heading}</th>`).join('')}</tr></thead><tbody>`,
 		...rows.map(row => formatRow(row)),
--- a/packages/cli/src/burn-report.ts
+++ b/packages/cli/src/burn-report.ts
@@ -1,5 +1,5 @@
 /**
- * Adds up the objectives' counts of several entries and judges them.
+ * Sums the event counts of objectives over several entries, and derives burn rates and alerts from them.
  */
 import {request} from 'undici';
 import {z} from 'zod';
@@ -9,7 +9,7 @@
 import {toPlatformError} from '@wasabiusher/backends';
 import {describeError} from '@wasabiusher/shared';
 
-/** Names of the metrics that entries keep for each profile's objectives. */
+/** Names of the metrics that entries expose for the objectives of each profile. */
 const metricNames = {
 	target: 'wasabiusher_objective_target',
 	events: 'wasabiusher_objective_events',
@@ -26,10 +26,10 @@
 
 type Metrics = z.infer<typeof metricsSchema>;
 
-/** Metrics of one entry, or why they are missing. */
+/** Metrics of one entry, or the reason why they are missing. */
 export type EntryMetrics = {origin: string; metrics?: Metrics; error?: string};
 
-/** One objective of one profile over all entries. */
+/** One objective of one profile, summed over all entries. */
 export type BurnRow = {
 	profile: string;
 	objective: string;
@@ -38,18 +38,18 @@
 	rates: Readonly<Record<BurnWindow, number | undefined>>;
 	budgetLeft: number | undefined;
 	alerts: BurnAlert[];
-	/** What the figures lack, in words; empty when nothing. */
+	/** Descriptions of the data that is missing; empty if the data is complete. */
 	missing: string[];
 };
 
 export type BurnReport = {
 	rows: BurnRow[];
-	/** Entries whose events are not in the figures. */
+	/** Entries whose events are not included. */
 	missing: Array<{origin: string; reason: string}>;
 	entries: number;
 };
 
-/** Asks each entry for its metrics. */
+/** Reads the metrics of each entry. */
 export async function readMetrics(origins: readonly string[], timeoutMs: number): Promise<EntryMetrics[]> {
 	return Promise.all(origins.map(async origin => {
 		try {
@@ -67,11 +67,11 @@
 
 type Labels = {profile: string; objective: string; window?: string; result?: string};
 
-/** The value of a metric with these labels; undefined where there is none. */
+/** Returns the value of a metric with the given labels; undefined if there is none. */
 function findValue(metrics: Metrics, name: string, labels: Labels): number | undefined {
 	const metric = metrics.find(other => other.name === name);
-	const found = metric?.values.find(({labels: own}) => Object.entries(labels).every(([label, value]) => own[label] === value));
-	return found?.value ?? undefined;
+	const sample = metric?.values.find(({labels: sampleLabels}) => Object.entries(labels).every(([label, value]) => sampleLabels[label] === value));
+	return sample?.value ?? undefined;
 }
 
 function readCounts(metrics: Metrics, labels: Labels): BurnCounts {
@@ -83,48 +83,48 @@
 	});
 }
 
-function listObjectives(all: readonly Metrics[]): Array<Labels & {target: number}> {
-	const found = new Map<string, Labels & {target: number}>();
-	for (const metrics of all) {
+function listObjectives(metricsOfEntries: readonly Metrics[]): Array<Labels & {target: number}> {
+	const objectives = new Map<string, Labels & {target: number}>();
+	for (const metrics of metricsOfEntries) {
 		for (const {labels, value} of metrics.find(({name}) => name === metricNames.target)?.values ?? []) {
 			const profile = String(labels.profile);
 			const objective = String(labels.objective);
-			found.set(`${profile} ${objective}`, {profile, objective, target: value ?? 0});
+			objectives.set(`${profile} ${objective}`, {profile, objective, target: value ?? 0});
 		}
 	}
 
-	return [...found.values()].toSorted((a, b) => a.profile.localeCompare(b.profile) || a.objective.localeCompare(b.objective));
+	return [...objectives.values()].toSorted((a, b) => a.profile.localeCompare(b.profile) || a.objective.localeCompare(b.objective));
 }
 
-/** Names of windows for people. */
+/** Labels of the windows in reports. */
 export const windowLabels: Readonly<Record<BurnWindow, string>> = {
 	fiveMinutes: '5m', halfHour: '30m', oneHour: '1h', sixHours: '6h',
 };
 
 /** Builds the report. */
 export function buildBurnReport(answers: readonly EntryMetrics[]): BurnReport {
-	const known = answers.map(({metrics}) => metrics).filter(metrics => metrics !== undefined);
+	const metricsOfEntries = answers.map(({metrics}) => metrics).filter(metrics => metrics !== undefined);
 	const missing = answers.filter(({error}) => error !== undefined).map(({origin, error}) => ({origin, reason: error!}));
-	const rows = listObjectives(known).map(({profile, objective, target}): BurnRow => {
-		const keepers = known.filter(metrics => findValue(metrics, metricNames.target, {profile, objective}) !== undefined);
-		const perEntry = keepers.map(metrics => readCounts(metrics, {profile, objective}));
-		const counts = mapBurnWindows(window => addWindowCounts(perEntry.map(entry => entry[window])));
+	const rows = listObjectives(metricsOfEntries).map(({profile, objective, target}): BurnRow => {
+		const entriesWithObjective = metricsOfEntries.filter(metrics => findValue(metrics, metricNames.target, {profile, objective}) !== undefined);
+		const countsByEntry = entriesWithObjective.map(metrics => readCounts(metrics, {profile, objective}));
+		const counts = mapBurnWindows(window => addWindowCounts(countsByEntry.map(entryCounts => entryCounts[window])));
 		const {rates, budgetLeft, alerts, empty, partial} = judgeBurn(target, counts);
 		return {
-			profile, objective, target, counts, rates, budgetLeft, alerts, missing: describeMissing(empty, partial, answers.length - keepers.length),
+			profile, objective, target, counts, rates, budgetLeft, alerts, missing: describeMissing(empty, partial, answers.length - entriesWithObjective.length),
 		};
 	});
 	return {rows, missing, entries: answers.length};
 }
 
-function describeMissing(empty: readonly BurnWindow[], partial: readonly BurnWindow[], silentEntries: number): string[] {
+function describeMissing(empty: readonly BurnWindow[], partial: readonly BurnWindow[], entriesWithoutMetrics: number): string[] {
 	const isEmpty = empty.length === burnWindowNames.length;
 	return [
 		...(isEmpty ? ['no events'] : []),
 		...(partial.length > 0 ? [`not observed whole: ${partial.map(window => windowLabels[window]).join(' ')}`] : []),
-		...(silentEntries > 0 ? [`${silentEntries} entries without figures`] : []),
+		...(entriesWithoutMetrics > 0 ? [`${entriesWithoutMetrics} entries without figures`] : []),
 	];
 }
 
-/** Longest window, in hours, for headings. */
+/** Length of the longest window in hours, for headings. */
 export const budgetHours = burnWindows.sixHours / 3_600_000;
--- a/packages/cli/src/command.ts
+++ b/packages/cli/src/command.ts
@@ -1,29 +1,28 @@
 /**
- * What a command is, and the settings that commands share.
+ * Defines the shape of a command, and the settings that several commands share.
  */
 import {z} from 'zod';
 
-/** What a command has found: for programs, and for people. */
+/** Result of a command: `json` for programs, `text` for people. */
 export type CommandResult = {json: unknown; text: string};
 
 export type Command<Shape extends z.ZodRawShape = z.ZodRawShape> = {
-	/** One line for the help. */
+	/** One line for the help text. */
 	summary: string;
 	schema: z.ZodObject<Shape>;
-	/** The setting that a word without a flag, right after the command, gives. */
+	/** Name of the setting that an argument without a flag sets, directly after the command. */
 	positional?: string;
-	/** Throws `CliError`. */
+	/** @throws {CliError} */
 	run(settings: z.infer<z.ZodObject<Shape>>): Promise<CommandResult>;
 };
 
-/** Lets a command's function know the type of its own settings, and the table hold all alike. */
+/** Infers the settings of `run` from the command's schema, and returns the command in the type that the table of commands holds. */
 export function defineCommand<Shape extends z.ZodRawShape>(command: Command<Shape>): Command {
-	// The settings that reach `run` have been parsed by the same command's schema.
-
+	// Safe, since the program parses the settings for `run` with the schema of the same command.
 	return command;
 }
 
-/** `a,b` as a list of origins. */
+/** Parses `a,b` into a list of origins. */
 export const originsSchema = z.string().transform((text, context) => {
 	const origins = text.split(',').map(origin => origin.trim()).filter(Boolean);
 	for (const origin of origins) {
@@ -49,7 +48,7 @@
 	...timeoutShape,
 };
 
-/** `a,b` as a list of log files. */
+/** Parses `a,b` into a list of log files. */
 export const logsSchema = z.string().min(1).transform(text => text.split(',').filter(Boolean)).describe('log files of any number of hosts, comma-separated');
 
 export const jsonShape = {
--- a/packages/cli/src/commands.ts
+++ b/packages/cli/src/commands.ts
@@ -1,5 +1,5 @@
 /**
- * The commands of `wasabiusher`, by name.
+ * Defines the commands for configuration and status, and the table of all commands by name.
  */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -30,7 +30,11 @@
 	}
 }
 
-/** Reads a configuration; throws `invalid` with all of its problems. */
+/**
+ * Reads a configuration from a file, or from standard input for `-`.
+ *
+ * @throws {CliError} `invalid` with all problems of the document; `failed` if the file can't be read
+ */
 async function readConfiguration(file: string): Promise<Configuration> {
 	const {configuration, problems} = readDocument(await readText(file));
 	if (configuration === undefined) {
@@ -80,7 +84,7 @@
 		const client = new OperatorClient(toAccess(access));
 		const before = await client.readCurrent();
 		if (dryRun) {
-			checkVersion(before.version, ifVersion);
+			assertVersion(before.version, ifVersion);
 			const differences = listDifferences(before.configuration, configuration);
 			return {json: {version: before.version, dryRun, differences}, text: `would change version ${before.version}:\n${formatDifferences(differences)}`};
 		}
@@ -96,13 +100,13 @@
 	},
 });
 
-function checkVersion(version: number, expected: number | undefined): void {
+function assertVersion(version: number, expected: number | undefined): void {
 	if (expected !== undefined && expected !== version) {
 		throw new CliError('conflict', `the configuration is at version ${version}, expected ${expected}`);
 	}
 }
 
-/** A conflict shows whose change came first, and how it differs from the document. */
+/** Adds to a conflict who made the change that was accepted first, and how the document differs from it. */
 function describeConflict(error: unknown, configuration: Configuration): unknown {
 	if (!(error instanceof CliError) || !error.current) {
 		return error;
@@ -124,7 +128,7 @@
 		...jsonShape,
 	}),
 	async run({limit, ...access}) {
-		// One more than listed, so that the oldest one listed can be compared.
+		// Reads one change more than is listed, so that the oldest listed change can be compared with its predecessor.
 		const found = await new OperatorClient(toAccess(access)).readHistory(limit + 1);
 		const changes = found.slice(0, limit).map((change, index) => {
 			const before = found[index + 1] ?? (change.version === 1 ? emptyConfiguration : undefined);
@@ -136,18 +140,18 @@
 			};
 		});
 		const rows = changes.map(({version, acceptedAt, author, differences}) => [
-			String(version), formatTime(acceptedAt), author, differences ? summarise(differences) : '?',
+			String(version), formatTime(acceptedAt), author, differences ? summarizeDifferences(differences) : '?',
 		]);
 		return {json: {changes}, text: formatTable(['VERSION', 'ACCEPTED', 'AUTHOR', 'CHANGED'], rows)};
 	},
 });
 
-/** Most paths named in one row. */
-const maxPaths = 3;
+/** Maximum number of paths in one row. */
+const maxListedPaths = 3;
 
-function summarise(differences: readonly Difference[]): string {
-	const paths = differences.slice(0, maxPaths).map(({path}) => path).join(', ');
-	const rest = differences.length - maxPaths;
+function summarizeDifferences(differences: readonly Difference[]): string {
+	const paths = differences.slice(0, maxListedPaths).map(({path}) => path).join(', ');
+	const rest = differences.length - maxListedPaths;
 	return rest > 0 ? `${paths} and ${rest} more` : paths || 'nothing';
 }
 
@@ -169,7 +173,7 @@
 	return {origins: entries, token, timeoutMs};
 }
 
-/** All commands. */
+/** All commands, by name. */
 export const commands: Readonly<Record<string, Command>> = {
 	validate, diff, apply, history, status, burn: burnCommand, explain: explainCommand, gateways: gatewaysCommand, runs: runsCommand, steps: stepsCommand,
 };
--- a/packages/cli/src/differences.ts
+++ b/packages/cli/src/differences.ts
@@ -1,12 +1,12 @@
 /**
- * What a change changes, field by field.
+ * Lists the differences between two configurations, field by field.
  */
 import type {Configuration} from '@wasabiusher/shared';
 
-/** `before` is undefined for what is added, `after` for what is removed. */
+/** A field that differs. `before` is undefined for an added field, `after` for a removed one. */
 export type Difference = {path: string; before: unknown; after: unknown};
 
-/** Values by path; lists count as one value. */
+/** Collects the values by path. A list counts as one value. */
 function flatten(value: unknown, path: string, found: Map<string, unknown>): Map<string, unknown> {
 	if (typeof value !== 'object' || value === null || Array.isArray(value)) {
 		found.set(path, value);
@@ -22,17 +22,17 @@
 	return found;
 }
 
-/** Lists the fields that differ, in order of their paths. */
+/** Returns the fields that differ, sorted by path. */
 export function listDifferences(before: Configuration, after: Configuration): Difference[] {
-	const old = flatten(before, '', new Map());
-	const fresh = flatten(after, '', new Map());
-	return [...new Set([...old.keys(), ...fresh.keys()])]
-		.map(path => ({path, before: old.get(path), after: fresh.get(path)}))
+	const valuesBefore = flatten(before, '', new Map());
+	const valuesAfter = flatten(after, '', new Map());
+	return [...new Set([...valuesBefore.keys(), ...valuesAfter.keys()])]
+		.map(path => ({path, before: valuesBefore.get(path), after: valuesAfter.get(path)}))
 		.filter(difference => JSON.stringify(difference.before) !== JSON.stringify(difference.after))
 		.toSorted((a, b) => a.path < b.path ? -1 : 1);
 }
 
-/** One line a field: `+` added, `-` removed, `~` changed. */
+/** Formats a difference as one line: `+` for an added field, `-` for a removed one, `~` for a changed one. */
 export function formatDifference({path, before, after}: Difference): string {
 	if (before === undefined) {
 		return `+ ${path}: ${JSON.stringify(after)}`;
--- a/packages/cli/src/document.ts
+++ b/packages/cli/src/document.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a configuration from YAML (or JSON, which is YAML too) and finds all of its problems with their lines.
+ * Reads a configuration from YAML (or JSON, which is valid YAML) and reports all problems with their lines.
  */
 import {
 	isMap, isNode, isPair, LineCounter, parseDocument, type Document,
@@ -7,9 +7,9 @@
 import type {z} from 'zod';
 import {configurationSchema, type Configuration} from '@wasabiusher/shared';
 
-/** One thing that is wrong. */
+/** One problem of a document. */
 export type DocumentProblem = {
-	/** Such as `profiles.ranger-query.deadlineMs`; empty for the document itself. */
+	/** Path of the field, such as `profiles.ranger-query.deadlineMs`; empty for the document itself. */
 	path: string;
 	/** Counted from 1. */
 	line: number;
@@ -17,13 +17,13 @@
 	message: string;
 };
 
-/** Without problems there is a configuration. */
-export type DocumentReading = {configuration?: Configuration; problems: DocumentProblem[]};
+/** `configuration` is present exactly if there are no problems. */
+export type DocumentResult = {configuration?: Configuration; problems: DocumentProblem[]};
 
-type Place = Pick<DocumentProblem, 'line' | 'column'>;
+type Position = Pick<DocumentProblem, 'line' | 'column'>;
 
-/** Finds places in the text of a document. */
-class Places {
+/** Finds the lines and columns of fields in the text of a document. */
+class PositionFinder {
 	readonly #document: Document.Parsed;
 	readonly #lines: LineCounter;
 
@@ -32,8 +32,8 @@
 		this.#lines = lines;
 	}
 
-	/** The place of a key, or of the nearest thing around it that is there. */
-	locate(path: readonly PropertyKey[]): Place {
+	/** Returns the position of a field, or of its nearest ancestor that the document contains. */
+	locate(path: readonly PropertyKey[]): Position {
 		for (let {length} = path; length > 0; length -= 1) {
 			const offset = this.#findOffset(path.slice(0, length));
 			if (offset !== undefined) {
@@ -44,7 +44,7 @@
 		return {line: 1, column: 1};
 	}
 
-	at(offset: number): Place {
+	at(offset: number): Position {
 		const {line, col} = this.#lines.linePos(offset);
 		return {line, column: col};
 	}
@@ -61,12 +61,12 @@
 	}
 }
 
-/** Unknown fields are told one by one, each at its own place. */
+/** Returns the paths of an issue. Unknown fields are reported separately, each at its own position. */
 function listPaths(issue: z.core.$ZodIssue): PropertyKey[][] {
 	return issue.code === 'unrecognized_keys' ? issue.keys.map(key => [...issue.path, key]) : [issue.path];
 }
 
-/** By kinds of issues whose own message says too little. */
+/** Descriptions by code, for issues whose own message is not specific enough. */
 const descriptions = new Map<string, (issue: z.core.$ZodIssue) => string | undefined>([
 	['unrecognized_keys', () => 'unknown field'],
 	['invalid_key', issue => issue.code === 'invalid_key' ? issue.issues[0]?.message : undefined],
@@ -77,18 +77,18 @@
 	return descriptions.get(issue.code)?.(issue) ?? issue.message;
 }
 
-function toProblems(issue: z.core.$ZodIssue, places: Places): DocumentProblem[] {
+function toProblems(issue: z.core.$ZodIssue, positions: PositionFinder): DocumentProblem[] {
 	const message = describeIssue(issue);
-	return listPaths(issue).map(path => ({path: path.map(String).join('.'), message, ...places.locate(path)}));
+	return listPaths(issue).map(path => ({path: path.map(String).join('.'), message, ...positions.locate(path)}));
 }
 
-/** Reads a document; `problems` lists all that is wrong, in order of lines. */
-export function readDocument(text: string): DocumentReading {
+/** Reads a document. `problems` lists all problems in order of their positions. */
+export function readDocument(text: string): DocumentResult {
 	const lines = new LineCounter();
 	const document = parseDocument(text, {lineCounter: lines, prettyErrors: false});
-	const places = new Places(document, lines);
+	const positions = new PositionFinder(document, lines);
 	if (document.errors.length > 0) {
-		const problems = document.errors.map(({message, pos}) => ({path: '', message, ...places.at(pos[0])}));
+		const problems = document.errors.map(({message, pos}) => ({path: '', message, ...positions.at(pos[0])}));
 		return {problems};
 	}
 
@@ -98,12 +98,12 @@
 	}
 
 	const problems = parsed.error.issues
-		.flatMap(issue => toProblems(issue, places))
+		.flatMap(issue => toProblems(issue, positions))
 		.toSorted((a, b) => a.line - b.line || a.column - b.column);
 	return {problems};
 }
 
-/** One line a problem, in the form that editors and compilers share. */
+/** Formats a problem as one line, in the format that compilers use and editors recognise. */
 export function formatProblem(file: string, {line, column, path, message}: DocumentProblem): string {
 	return `${file}:${line}:${column}: ${path === '' ? '' : `${path}: `}${message}`;
 }
--- a/packages/cli/src/errors.ts
+++ b/packages/cli/src/errors.ts
@@ -1,11 +1,11 @@
 /**
- * What can go wrong for an operator, each with the exit status that scripts can act on.
+ * Errors of the command line, each with an exit status for scripts.
  */
 import {LayerError, type AcceptedConfiguration} from '@wasabiusher/shared';
 
-/** Exit status by error; 2 is wrong usage, by convention. */
+/** Exit status by error code. Status 2 is reserved for wrong usage, by convention. */
 export const exitStatuses = {
-	/** No entry could be reached, or it refused. */
+	/** No entry could be reached, an entry refused the request, or the input can't be read. */
 	failed: 1,
 	/** The document has problems. */
 	invalid: 1,
@@ -17,10 +17,10 @@
 
 export type CliErrorCode = keyof typeof exitStatuses;
 
-/** Its message is shown as it is; `details` are added to the JSON output. */
+/** An error of a command. Its message is printed unchanged; `details` are added to the JSON output. */
 export class CliError extends LayerError<CliErrorCode> {
 	override readonly name = 'CliError';
-	/** On a conflict, what is in force instead, where the entry told it. */
+	/** On a conflict, the configuration in force, if the entry sent it. */
 	current?: AcceptedConfiguration;
 	readonly details: Record<string, unknown>;
 
--- a/packages/cli/src/explain-command.ts
+++ b/packages/cli/src/explain-command.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher explain`: the history of one id from log files, and the line that decided what became of it.
+ * `wasabiusher explain`: shows the history of one id from log files, and the line that decided its outcome.
  */
 import {z} from 'zod';
 import {
@@ -9,25 +9,24 @@
 import {CliError} from './errors.js';
 
 function formatLine({timeMs, host, event, values, isRelated}: ExplainedLine, isDecided: boolean): string {
-	const mark = isDecided ? '>' : ' ';
+	const marker = isDecided ? '>' : ' ';
 	const pairs = Object.entries(values).map(([key, value]) => `${key}=${/[\s"]/v.test(value) ? JSON.stringify(value) : value}`);
-	return [mark, new Date(timeMs).toISOString().slice(11, 23), host || '-', isRelated ? '.' : event, isRelated ? event : '', ...pairs].filter(Boolean).join(' ');
+	return [marker, new Date(timeMs).toISOString().slice(11, 23), host || '-', isRelated ? '.' : event, isRelated ? event : '', ...pairs].filter(Boolean).join(' ');
 }
 
 function formatExplanation({
 	id, kind, lines, decided, offsets, omitted, count,
 }: Explanation): string {
-	const apart = Object.entries(offsets).map(([host, offset]) => `${host} ${offset > 0 ? '+' : ''}${(offset / 1000).toFixed(1)} s`);
+	const clockOffsets = Object.entries(offsets).map(([host, offset]) => `${host} ${offset > 0 ? '+' : ''}${(offset / 1000).toFixed(1)} s`);
 	return [
 		`${kind} ${id}: ${lines.length} of ${count.lines} lines; ${count.skipped} could not be read${omitted === 0 ? '' : `; ${omitted} more left out`}`,
-		...(apart.length === 0 ? [] : [`clocks put right: ${apart.join(', ')}`]),
+		...(clockOffsets.length === 0 ? [] : [`clocks put right: ${clockOffsets.join(', ')}`]),
 		decided === undefined ? 'nothing has decided yet' : `decided by: ${lines[decided]!.event} at ${lines[decided]!.host || '-'}`,
 		'',
 		...lines.map((line, i) => formatLine(line, i === decided)),
 	].join('\n');
 }
 
-/** The command. */
 export const explainCommand = defineCommand({
 	positional: 'id',
 	summary: 'Tells the history of an id from log files: a request, sample, batch, endpoint, host, lease, model or version',
--- a/packages/cli/src/gateways-command.ts
+++ b/packages/cli/src/gateways-command.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher gateways`: what gateways tell of themselves, their endpoints and who waits.
+ * `wasabiusher gateways`: shows the state of gateways, their endpoints and their queued requests.
  */
 import {
 	describeError, gatewayStatusSchema, type EndpointView, type GatewayStatus,
@@ -10,20 +10,20 @@
 	defineCommand, jsonShape, originsSchema, timeoutShape,
 } from './command.js';
 import {CliError} from './errors.js';
-import {formatTable, formatYes} from './layout.js';
+import {formatTable, formatBoolean} from './layout.js';
 
-type Answer = {origin: string; status?: GatewayStatus; error?: string};
+type GatewayResponse = {origin: string; status?: GatewayStatus; error?: string};
 
-/** An endpoint as all hosts that answered see it together. */
+/** An endpoint, merged from the statuses of all hosts that answered. */
 type JoinedEndpoint = Pick<EndpointView, 'id' | 'service' | 'dataCentre' | 'slots' | 'bestPaceMs' | 'versions'> & {
-	/** Requests that the hosts that answered have open there. */
+	/** Open requests of these hosts at the endpoint. */
 	open: number;
-	/** Hosts that leave it alone at present. */
+	/** Number of hosts that currently send no requests to the endpoint. */
 	avoidedBy: number;
 	isDraining: boolean;
 };
 
-async function readStatus(origin: string, timeoutMs: number): Promise<Answer> {
+async function readStatus(origin: string, timeoutMs: number): Promise<GatewayResponse> {
 	try {
 		const response = await fetch(new URL('/status', origin), {signal: AbortSignal.timeout(timeoutMs)});
 		if (!response.ok) {
@@ -37,7 +37,7 @@
 	}
 }
 
-/** Joins what hosts tell of the same endpoints. */
+/** Merges the endpoints that several hosts report, by id. */
 export function joinEndpoints(statuses: readonly GatewayStatus[]): JoinedEndpoint[] {
 	const joined = new Map<string, JoinedEndpoint>();
 	for (const {id, open, isAvailable, bestPaceMs, versions, ...rest} of statuses.flatMap(({endpoints}) => endpoints)) {
@@ -47,7 +47,7 @@
 			isDraining: rest.isDraining || (known?.isDraining ?? false),
 			open: open + (known?.open ?? 0),
 			avoidedBy: Number(!isAvailable) + (known?.avoidedBy ?? 0),
-			bestPaceMs: minimum(bestPaceMs, known?.bestPaceMs),
+			bestPaceMs: minOptional(bestPaceMs, known?.bestPaceMs),
 			versions: {...known?.versions, ...versions},
 		});
 	}
@@ -55,7 +55,7 @@
 	return [...joined.values()].toSorted((a, b) => a.service.localeCompare(b.service) || a.id.localeCompare(b.id));
 }
 
-function minimum(a: number | undefined, b: number | undefined): number | undefined {
+function minOptional(a: number | undefined, b: number | undefined): number | undefined {
 	return a === undefined || b === undefined ? a ?? b : Math.min(a, b);
 }
 
@@ -65,21 +65,30 @@
 
 function formatHost({host, dataCentre, isReady, configuration, configurationAgeMs, storeWay, lateMs, isHolder, shares, waiting}: GatewayStatus): string[] {
 	return [
-		host, dataCentre, formatYes(isReady), String(configuration ?? '-'), String(configurationAgeMs ?? '-'), storeWay, String(lateMs), formatYes(isHolder), String(shares), formatCounts(waiting),
+		host,
+		dataCentre,
+		formatBoolean(isReady),
+		String(configuration ?? '-'),
+		String(configurationAgeMs ?? '-'),
+		storeWay,
+		String(lateMs),
+		formatBoolean(isHolder),
+		String(shares),
+		formatCounts(waiting),
 	];
 }
 
 function formatEndpoint({id, service, dataCentre, slots, open, avoidedBy, isDraining, bestPaceMs, versions}: JoinedEndpoint): string[] {
-	return [id, service, dataCentre, `${open}/${slots}`, String(avoidedBy), formatYes(isDraining), bestPaceMs?.toFixed(1) ?? '-', formatCounts(versions)];
+	return [id, service, dataCentre, `${open}/${slots}`, String(avoidedBy), formatBoolean(isDraining), bestPaceMs?.toFixed(1) ?? '-', formatCounts(versions)];
 }
 
-function formatStatuses(answers: readonly Answer[], statuses: readonly GatewayStatus[]): string {
-	const turns = statuses.flatMap(({host, turns: found}) => found.map(({turn, urgency, waiting, oldestMs}) => [host, turn, String(urgency), String(waiting), String(Math.round(oldestMs))]));
+function formatStatuses(answers: readonly GatewayResponse[], statuses: readonly GatewayStatus[]): string {
+	const flowRows = statuses.flatMap(({host, turns}) => turns.map(({turn, urgency, waiting, oldestMs}) => [host, turn, String(urgency), String(waiting), String(Math.round(oldestMs))]));
 	return [
 		...answers.flatMap(({origin, error}) => error === undefined ? [] : [`no answer from ${origin}: ${error}`]),
 		formatTable(['HOST', 'DATA CENTRE', 'READY', 'VERSION', 'AGE MS', 'STORE', 'LATE MS', 'HOLDER', 'SHARES', 'WAITING'], statuses.map(status => formatHost(status))),
 		formatTable(['ENDPOINT', 'SERVICE', 'DATA CENTRE', 'OPEN', 'AVOIDED BY', 'LEAVING', 'BEST MS', 'VERSIONS'], joinEndpoints(statuses).map(endpoint => formatEndpoint(endpoint))),
-		...(turns.length === 0 ? [] : [formatTable(['HOST', 'TURN', 'URGENCY', 'WAITING', 'OLDEST MS'], turns)]),
+		...(flowRows.length === 0 ? [] : [formatTable(['HOST', 'TURN', 'URGENCY', 'WAITING', 'OLDEST MS'], flowRows)]),
 	].join('\n\n');
 }
 
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** The operators' command line. */
+/** The operators' command line: runs a command, and reads configuration documents. */
 export * from './document.js';
 export * from './program.js';
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,10 +1,10 @@
 /**
- * `wasabiusher`: the operators' command line.
+ * Entry point of `wasabiusher`, the operators' command line.
  */
 import process from 'node:process';
 import {runProgram} from './program.js';
 
-// A reader that has seen enough, such as a pager, is no failure.
+// A reader that closes the pipe early, such as a pager, is not a failure.
 process.stdout.on('error', (error: NodeJS.ErrnoException) => {
 	if (error.code !== 'EPIPE') {
 		throw error;
--- a/packages/cli/src/operator-client.ts
+++ b/packages/cli/src/operator-client.ts
@@ -1,8 +1,7 @@
 /**
- * The operators' interface of the entries, as the command line uses it.
+ * Client for the operators' interface of the entries.
  *
- * Several entries may be named: the next is asked only when it is proven that the one
- * before has done nothing.
+ * Several entries may be given. The next one is called only if it is certain that the previous one has changed nothing.
  */
 import {request, type Dispatcher} from 'undici';
 import {z} from 'zod';
@@ -11,7 +10,7 @@
 import {CliError} from './errors.js';
 import {statusSchema, type EntryStatus} from './status.js';
 
-/** A problem as entries tell it; a conflict shows what is in force instead. */
+/** Error response of an entry. A conflict includes the configuration in force (`current`). */
 const problemSchema = z.object({
 	detail: z.string(),
 	ran: z.enum(['no', 'yes', 'unknown']).default('unknown'),
@@ -19,7 +18,7 @@
 });
 
 export type OperatorAccess = {
-	/** Origins of the entries' addresses for operators. */
+	/** Origins at which the entries serve operators. */
 	origins: readonly string[];
 	token?: string;
 	timeoutMs: number;
@@ -27,11 +26,11 @@
 
 export type Change = {configuration: Configuration; author: string; ifVersion?: number};
 
-type Call = {method: 'GET' | 'POST'; path: string; body?: unknown};
+type OperatorRequest = {method: 'GET' | 'POST'; path: string; body?: unknown};
 
 const conflictStatus = 409;
 
-/** Talks to the entries; throws `CliError`. */
+/** Calls the entries. Failed calls throw `CliError`, except where a method returns the reason. */
 export class OperatorClient {
 	readonly #access: OperatorAccess;
 
@@ -40,19 +39,19 @@
 	}
 
 	async readCurrent(): Promise<AcceptedConfiguration> {
-		return this.#callFirst(acceptedConfigurationSchema, {method: 'GET', path: '/v1/configuration'});
+		return this.#callFirstReachable(acceptedConfigurationSchema, {method: 'GET', path: '/v1/configuration'});
 	}
 
-	/** Newest first. */
+	/** Returns the accepted changes, newest first. */
 	async readHistory(limit: number): Promise<AcceptedConfiguration[]> {
-		return this.#callFirst(z.array(acceptedConfigurationSchema), {method: 'GET', path: `/v1/configuration/history?limit=${limit}`});
+		return this.#callFirstReachable(z.array(acceptedConfigurationSchema), {method: 'GET', path: `/v1/configuration/history?limit=${limit}`});
 	}
 
 	async apply(change: Change): Promise<AcceptedConfiguration> {
-		return this.#callFirst(acceptedConfigurationSchema, {method: 'POST', path: '/v1/configuration', body: change});
+		return this.#callFirstReachable(acceptedConfigurationSchema, {method: 'POST', path: '/v1/configuration', body: change});
 	}
 
-	/** What each entry answers, or why it did not. */
+	/** Returns the status of each entry, or the reason why there is none. */
 	async readStatuses(): Promise<Array<{origin: string; status?: EntryStatus; error?: string}>> {
 		return Promise.all(this.#access.origins.map(async origin => {
 			try {
@@ -67,11 +66,11 @@
 		}));
 	}
 
-	async #callFirst<Schema extends z.ZodType>(schema: Schema, call: Call): Promise<z.infer<Schema>> {
+	async #callFirstReachable<Schema extends z.ZodType>(schema: Schema, call: OperatorRequest): Promise<z.infer<Schema>> {
 		const reasons: string[] = [];
 		for (const origin of this.#access.origins) {
 			try {
-				// One entry after the other, so that a change is not sent twice.
+				// The entries are called one after the other, so that a change is not sent twice.
 				// eslint-disable-next-line no-await-in-loop
 				return await this.#call(origin, schema, call);
 			} catch (error) {
@@ -86,10 +85,10 @@
 		throw new CliError('failed', reasons.join('\n'));
 	}
 
-	async #call<Schema extends z.ZodType>(origin: string, schema: Schema, call: Call): Promise<z.infer<Schema>> {
+	async #call<Schema extends z.ZodType>(origin: string, schema: Schema, call: OperatorRequest): Promise<z.infer<Schema>> {
 		const {status, content} = await this.#send(origin, call);
 		if (status >= 400) {
-			throw toCliError(origin, status, content);
+			throw toResponseError(origin, status, content);
 		}
 
 		const parsed = schema.safeParse(content);
@@ -101,7 +100,7 @@
 		return parsed.data;
 	}
 
-	async #send(origin: string, {method, path, body}: Call): Promise<{status: number; content: unknown}> {
+	async #send(origin: string, {method, path, body}: OperatorRequest): Promise<{status: number; content: unknown}> {
 		const {token, timeoutMs} = this.#access;
 		let response: Dispatcher.ResponseData;
 		try {
@@ -114,12 +113,12 @@
 			});
 			return {status: response.statusCode, content: await response.body.json()};
 		} catch (error) {
-			throw toLostCall(origin, method, error);
+			throw toCallError(origin, method, error);
 		}
 	}
 }
 
-function toLostCall(origin: string, method: Call['method'], error: unknown): CliError {
+function toCallError(origin: string, method: OperatorRequest['method'], error: unknown): CliError {
 	const {code, message} = error instanceof PlatformError ? error : toPlatformError(error);
 	if (code === 'unavailable') {
 		return new CliError('failed', `${origin}: not reached: ${message}`, {isUnreachable: true}, error);
@@ -130,7 +129,7 @@
 		: new CliError('unknown', `${origin}: no answer: ${message}; the change may have been accepted, see "wasabiusher history"`, {}, error);
 }
 
-function toCliError(origin: string, status: number, content: unknown): CliError {
+function toResponseError(origin: string, status: number, content: unknown): CliError {
 	const parsed = problemSchema.safeParse(content);
 	if (!parsed.success) {
 		return new CliError('failed', `${origin}: status ${status}`);
--- a/packages/cli/src/program.ts
+++ b/packages/cli/src/program.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one command line; `main` gives it the process's own.
+ * Runs a command line. `main.ts` passes the arguments, environment and streams of the process.
  */
 import {cac} from 'cac';
 import {parseSettings, SettingsError, usageStatus} from '@wasabiusher/daemon';
@@ -17,7 +17,7 @@
 	writeError(text: string): void;
 };
 
-/** Prints the list of commands; cac lays it out. */
+/** Prints the list of commands, formatted by cac. */
 function printHelp(): void {
 	const cli = cac(program);
 	cli.usage('<command> [--setting value]...');
@@ -44,7 +44,7 @@
 	cli.outputVersion();
 }
 
-/** Runs a command; resolves to the exit status. */
+/** Runs a command and resolves to the exit status. */
 export async function runProgram({argv, environment, writeOut, writeError}: ProgramIo): Promise<number> {
 	const [name = '', ...rest] = argv;
 	if (Object.hasOwn(topLevel, name)) {
@@ -60,7 +60,7 @@
 
 	try {
 		const settings = parseSettings(command.schema, {
-			program: `${program} ${name}`, version, argv: nameFirst(command, rest), environment, description: command.summary,
+			program: `${program} ${name}`, version, argv: expandPositional(command, rest), environment, description: command.summary,
 		});
 		if (settings) {
 			const {json, text} = await command.run(settings);
@@ -69,17 +69,17 @@
 
 		return 0;
 	} catch (error) {
-		return report(error, rest.includes('--json'), {writeOut, writeError});
+		return reportError(error, rest.includes('--json'), {writeOut, writeError});
 	}
 }
 
-/** Gives a first word without a flag the name of the setting that it is. */
-function nameFirst({positional}: Command, argv: readonly string[]): readonly string[] {
+/** Puts the flag of the command's positional setting before a first argument that has no flag. */
+function expandPositional({positional}: Command, argv: readonly string[]): readonly string[] {
 	const [first] = argv;
 	return positional === undefined || first === undefined || first.startsWith('-') ? argv : [`--${positional}`, ...argv];
 }
 
-function report(error: unknown, isJson: boolean, {writeOut, writeError}: Pick<ProgramIo, 'writeOut' | 'writeError'>): number {
+function reportError(error: unknown, isJson: boolean, {writeOut, writeError}: Pick<ProgramIo, 'writeOut' | 'writeError'>): number {
 	if (error instanceof SettingsError) {
 		writeError(`${program}: ${error.message}`);
 		return usageStatus;
--- a/packages/cli/src/runs-command.ts
+++ b/packages/cli/src/runs-command.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher runs`: who was refused, what texts waited for and which runs moved, from the logs of any number of hosts.
+ * `wasabiusher runs`: reports refused and moved runs, and what texts waited for, from the logs of any number of hosts.
  */
 import {z} from 'zod';
 import {
@@ -9,7 +9,7 @@
 import {CliError} from './errors.js';
 import {formatTable} from './layout.js';
 
-/** Most hosts that are listed. */
+/** Maximum number of hosts listed. */
 const maxHosts = 12;
 
 function formatWait([field, {p50, p90, p99}]: [string, Quantiles]): string[] {
@@ -28,23 +28,22 @@
 	].join('\n');
 }
 
-/** The command. */
 export const runsCommand = defineCommand({
 	summary: 'Shows who was refused, what texts waited for and which runs moved, from log files',
 	schema: z.object({logs: logsSchema, ...jsonShape}),
 	async run({logs}) {
-		const count = new RunStatistics();
-		const marks = runEvents.map(event => `event=${event} `);
+		const statistics = new RunStatistics();
+		const eventMarkers = runEvents.map(event => `event=${event} `);
 		try {
-			const reading = await readLines(logs, line => {
-				count.add(line);
-			}, text => marks.some(mark => text.includes(mark)));
-			const report = count.report();
+			const count = await readLines(logs, line => {
+				statistics.add(line);
+			}, text => eventMarkers.some(marker => text.includes(marker)));
+			const report = statistics.report();
 			if (report.runs === 0) {
-				throw new CliError('failed', `no run ended in ${reading.lines} lines of ${logs.join(', ')}`);
+				throw new CliError('failed', `no run ended in ${count.lines} lines of ${logs.join(', ')}`);
 			}
 
-			return {json: {...report, ...reading}, text: formatReport(report, reading)};
+			return {json: {...report, ...count}, text: formatReport(report, count)};
 		} catch (error) {
 			if (error instanceof LogFileError) {
 				throw new CliError('failed', error.message, {}, error);
--- a/packages/cli/src/status.ts
+++ b/packages/cli/src/status.ts
@@ -1,8 +1,8 @@
 /**
- * Joins what several entries tell of themselves and of the agents in their view.
+ * Merges the statuses that several entries report of themselves and of the agents that they know.
  */
 import {z} from 'zod';
-import {formatTable, formatTime, formatYes} from './layout.js';
+import {formatTable, formatTime, formatBoolean} from './layout.js';
 
 const processShape = {
 	name: z.string(),
@@ -33,19 +33,19 @@
 export type EntryStatus = z.infer<typeof statusSchema>;
 
 export type SystemStatus = Omit<EntryStatus, 'configuration'> & {
-	/** The newest version that any entry knows. */
+	/** Newest version that any entry knows. */
 	version: number;
-	/** Processes that have it in force, of all that answered or are in view. */
+	/** Number of processes with this version in force, out of all entries and agents in the answers. */
 	inForce: {count: number; total: number};
 	lagging: string[];
-	/** Entries that did not answer, with the reason. */
+	/** Entries that did not answer, with reasons. */
 	missing: Array<{origin: string; reason: string}>;
 };
 
-type Named = {name: string; configurationVersion: number};
+type ConfiguredProcess = {name: string; configurationVersion: number};
 
-/** One row a name; an agent in view of several entries is told by the one that knows its newest version. */
-function joinByName<Process extends Named>(processes: readonly Process[]): Process[] {
+/** Returns one row per name. If several entries report the same agent, the row with the newest version is used. */
+function joinByName<Process extends ConfiguredProcess>(processes: readonly Process[]): Process[] {
 	const joined = new Map<string, Process>();
 	for (const process of processes) {
 		const known = joined.get(process.name);
@@ -57,7 +57,7 @@
 	return [...joined.values()].toSorted((a, b) => a.name.localeCompare(b.name));
 }
 
-/** Joins the answers of several entries. */
+/** Merges the statuses of several entries. */
 export function joinStatuses(answers: ReadonlyArray<{origin: string; status?: EntryStatus; error?: string}>): SystemStatus {
 	const statuses = answers.map(({status}) => status).filter(status => status !== undefined);
 	const entries = joinByName(statuses.flatMap(status => status.entries));
@@ -84,15 +84,15 @@
 
 function formatProcesses(status: SystemStatus): string[] {
 	const entryRows = status.entries.map(({name, dataCentre, configurationVersion, isLeaving, openCalls}) => [
-		name, dataCentre, String(configurationVersion), formatYes(isLeaving), String(openCalls),
+		name, dataCentre, String(configurationVersion), formatBoolean(isLeaving), String(openCalls),
 	]);
 	const agentRows = status.agents.map(agent => [
 		agent.name,
 		agent.dataCentre,
 		String(agent.configurationVersion),
-		formatYes(agent.isLeaving),
+		formatBoolean(agent.isLeaving),
 		agent.service ?? '-',
-		agent.isUp ? formatYes(agent.isHealthy) : 'no link',
+		agent.isUp ? formatBoolean(agent.isHealthy) : 'no link',
 		agent.models.map(({model, version}) => `${model}@${version}`).join(' ') || '-',
 		`${agent.running}/${agent.limit}`,
 		String(agent.waiting),
@@ -104,7 +104,7 @@
 	];
 }
 
-/** Lays out the status for people. */
+/** Formats the status for people. */
 export function formatStatus(status: SystemStatus): string {
 	const {version, inForce, lagging, quarantine, rollouts, missing} = status;
 	const sections = [
--- a/packages/cli/src/steps-command.ts
+++ b/packages/cli/src/steps-command.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher steps`: what steps waited for, from the logs of any number of hosts.
+ * `wasabiusher steps`: reports what the steps of trainers waited for, from the logs of any number of hosts.
  */
 import {z} from 'zod';
 import {
@@ -16,13 +16,13 @@
 
 function formatStep(from: number, {trainer, step, askedAt, owners, boundMs, wholeMs, endedMs, chain}: ReportedStep): string[] {
 	const times = [askedAt - from, boundMs, wholeMs, endedMs].map(ms => formatSeconds(ms));
-	const text = chain ? [chain.endpoint, `${chain.events - chain.kept}+${chain.kept}`, String(chain.runs)] : ['-', '-', '-'];
+	const chainCells = chain ? [chain.endpoint, `${chain.events - chain.kept}+${chain.kept}`, String(chain.runs)] : ['-', '-', '-'];
 	return [
 		trainer,
 		String(step),
 		...times,
 		String(owners),
-		...text,
+		...chainCells,
 		...chainLinks.map(link => formatSeconds(chain?.links[link])),
 	];
 }
@@ -37,7 +37,7 @@
 	];
 }
 
-/** The report for people; all times in seconds. */
+/** Formats the report for people, with all times in seconds. */
 function formatReport(report: StepsReport, {lines, skipped}: LineCounts): string {
 	const {from, to, bestPaceMs, steps, trainers, slots, slotStepMs, loads} = report;
 	return [
@@ -57,7 +57,6 @@
 	].join('\n');
 }
 
-/** The command. */
 export const stepsCommand = defineCommand({
 	summary: 'Shows what the steps of trainers waited for, from log files',
 	schema: z.object({
@@ -66,11 +65,11 @@
 	}),
 	async run({logs}) {
 		const histories = new StepHistories();
-		const marks = stepEvents.map(event => `event=${event} `);
+		const eventMarkers = stepEvents.map(event => `event=${event} `);
 		try {
 			const count = await readLines(logs, line => {
 				histories.add(line);
-			}, text => marks.some(mark => text.includes(mark)));
+			}, text => eventMarkers.some(marker => text.includes(marker)));
 			const report = reportSteps(histories);
 			if (report.steps.length === 0) {
 				throw new CliError('failed', `no step was begun in ${count.lines} lines of ${logs.join(', ')}`);
