--- a/packages/standins/__tests__/engine.spec.ts
+++ b/packages/standins/__tests__/engine.spec.ts
@@ -53,17 +53,17 @@
 		return 'none';
 	}
 
-	it('puts several tokens into an event and stops at the length in the prompt', async () => {
+	it('sends several tokens per event and stops at the length in the prompt', async () => {
 		const {engine} = await createEngine({tokensPerEvent: 2});
-		const seen: GenerationEvent[] = [];
+		const received: GenerationEvent[] = [];
 		const parts = await collect(generate(engine, {request: {prompt: 'tag=x length=5', maxTokens: 9}}), event => {
-			seen.push(event);
+			received.push(event);
 		});
 		expect(parts.map(([text]) => text)).to.deep.equal(['t1:x t2:x ', 't3:x t4:x ', 't5:x ']);
-		expect(seen.at(-1)).to.deep.equal({kind: 'finished', reason: 'stop'});
+		expect(received.at(-1)).to.deep.equal({kind: 'finished', reason: 'stop'});
 	});
 
-	it('labels each part with the version that made it, also within an event', async () => {
+	it('labels each part with the weight version that generated it, also within an event', async () => {
 		const {engine, server} = await createEngine({tokensPerEvent: 50});
 		const run = collect(generate(engine, {request: {maxTokens: 40}}));
 		await waitUntil(async () => server.tokensMade > 0);
@@ -76,13 +76,13 @@
 		expect(words).to.have.lengthOf(40);
 	});
 
-	it('goes on from a text with the next token', async () => {
+	it('resumes from a text with its next token', async () => {
 		const {engine} = await createEngine();
 		const parts = await collect(generate(engine, {request: {resumeFrom: 't1 t2 ', maxTokens: 2}}));
 		expect(parts.map(([text]) => text)).to.deep.equal(['t3 ', 't4 ']);
 	});
 
-	it('gives a free slot to the most urgent first', async () => {
+	it('assigns a free slot to the highest priority first', async () => {
 		const {engine, server} = await createEngine({slots: 1});
 		server.switches.isStalled = true;
 		const ended: string[] = [];
@@ -113,11 +113,11 @@
 		expect(await count(engine, 'running')).to.equal(0);
 	});
 
-	it('tells what its cache stored and evicted, within its memory', async () => {
+	it('lists what its cache stored and evicted within its capacity', async () => {
 		const {engine} = await createEngine({cacheBlocks: 1});
 		const prompts = ['a', 'b'].map(letter => letter.repeat(blockCharacters));
 		for (const prompt of prompts) {
-			// One after the other, so that the order of the events is known.
+			// Requests run in sequence, so that the order of the events is deterministic.
 			// eslint-disable-next-line no-await-in-loop
 			await collect(generate(engine, {request: {prompt}}));
 		}
@@ -130,7 +130,7 @@
 		expect(await engine.listCacheEvents(2)).to.have.lengthOf(1);
 	});
 
-	it('leaves gaps in the events that it loses', async () => {
+	it('leaves gaps in the sequence numbers where it loses events', async () => {
 		const {engine} = await createEngine({cacheEventLoss: 0.5, seed: 2});
 		await collect(generate(engine, {request: {prompt: 'x'.repeat(20 * blockCharacters)}}));
 		const events = await engine.listCacheEvents(0);
@@ -139,7 +139,7 @@
 		expect(sequences.at(-1)! - sequences[0]! + 1, 'sequence numbers skip').to.be.greaterThan(sequences.length);
 	});
 
-	it('refuses an older fence, or ignores it when so set', async () => {
+	it('refuses an order with an older fence, or accepts it if `honoursFence` is off', async () => {
 		const strict = await createEngine();
 		await strict.engine.order({kind: 'load', model: 'trail', version: 5}, 9);
 		expect(await catchCode(strict.engine.order({kind: 'load', model: 'trail', version: 4}, 8))).to.equal('fenced');
@@ -149,7 +149,7 @@
 		expect(await listModels(lax.engine)).to.deep.equal([{model: 'trail', version: 4}]);
 	});
 
-	it('keeps the old version in force when a swap fails', async () => {
+	it('keeps the old version active when a swap fails', async () => {
 		const {engine, server} = await createEngine();
 		server.switches.loadsToFail = 1;
 		expect(await catchCode(engine.order({kind: 'load', model: 'trail', version: 4}, 1))).to.equal('refused');
@@ -158,18 +158,18 @@
 		expect(await listModels(engine)).to.deep.equal([{model: 'trail', version: 4}]);
 	});
 
-	it('takes weights from their store before a version is in force', async () => {
-		const asked: string[] = [];
+	it('fetches weights from their source before a version becomes active', async () => {
+		const fetched: string[] = [];
 		const {engine} = await createEngine({}, {
 			async fetch(model, version) {
-				asked.push(`${model}@${version}`);
+				fetched.push(`${model}@${version}`);
 			},
 		});
 		await engine.order({kind: 'load', model: 'hazard', version: 1}, 1);
-		expect(asked).to.deep.equal(['hazard@1']);
+		expect(fetched).to.deep.equal(['hazard@1']);
 	});
 
-	it('is crashed by a poison request, cuts the others and comes back as another start', async () => {
+	it('crashes on a poison request, closes all connections and restarts with a new start id', async () => {
 		const {engine, server} = await createEngine({restartMs: 1});
 		const {startId} = await engine.report();
 		await engine.order({kind: 'load', model: 'trail', version: 4}, 1);
@@ -184,7 +184,7 @@
 		expect(server.crashes).to.equal(1);
 	});
 
-	it('reports a load of some time ago, and its models as they are', async () => {
+	it('reports load figures with a lag, and its models without', async () => {
 		const {engine, server} = await createEngine({reportLagMs: 60_000});
 		server.switches.isStalled = true;
 		expect(await count(engine, 'running')).to.equal(0);
@@ -227,7 +227,7 @@
 
 async function waitUntil(test: () => Promise<boolean>): Promise<void> {
 	for (let tries = 0; tries < 1000; tries += 1) {
-		// Each try waits for the one before.
+		// Polls in sequence.
 		// eslint-disable-next-line no-await-in-loop
 		if (await test()) {
 			return;
@@ -239,5 +239,5 @@
 		});
 	}
 
-	throw new Error('the expected state did not come');
+	throw new Error('the expected state was not reached in 1000 polls');
 }
--- a/packages/standins/__tests__/memory-storage.spec.ts
+++ b/packages/standins/__tests__/memory-storage.spec.ts
@@ -28,7 +28,7 @@
 		clock.uninstall();
 	});
 
-	it('writes all of a transaction or nothing', async () => {
+	it('applies a transaction atomically', async () => {
 		const tables = new MemoryTableService();
 		await tables.transact(write('a', 1));
 		const code = await catchCode(tables.transact([...write('b', 1, 0), ...write('a', 2, 0)]));
@@ -44,21 +44,21 @@
 		expect(rows.map(({key}) => key)).to.deep.equal(['x/2', 'x/3']);
 	});
 
-	it('does nothing while it is down', async () => {
+	it('applies no write while it is down', async () => {
 		const tables = new MemoryTableService({isDown: true});
 		expect(await catchCode(tables.transact(write('a', 1)))).to.equal('unavailable');
 		tables.switches.isDown = false;
 		expect(await tables.read('t', 'a')).to.equal(undefined);
 	});
 
-	it('loses answers of writes that took effect, as many as it is told', async () => {
+	it('loses the answers of as many applied writes as are set', async () => {
 		const tables = new MemoryTableService({answersToLose: 1});
 		expect(await catchCode(tables.transact(write('a', 1, 0)))).to.equal('unknown');
 		expect(await catchCode(tables.transact(write('a', 2, 0)))).to.equal('conflict');
 		expect((await tables.transact(write('a', 2, 1)))).to.deep.equal([2]);
 	});
 
-	it('lets a write that was too slow for its client take effect later', async () => {
+	it('applies a write after its client has timed out', async () => {
 		const tables = new MemoryTableService({delayMs: 5000, clientTimeoutMs: 1000});
 		const code = catchCode(tables.transact(write('a', 1)));
 		await clock.tickAsync(1000);
@@ -69,7 +69,7 @@
 		expect(await tables.read('t', 'a')).to.deep.include({value: 1});
 	});
 
-	it('keeps the values as they were when the call began', async () => {
+	it('stores the values as of the start of the call', async () => {
 		const tables = new MemoryTableService({delayMs: 100});
 		const value = {count: 1};
 		const done = tables.transact(write('a', value));
@@ -80,7 +80,7 @@
 		expect((await tables.read('t', 'a'))!.value).to.deep.equal({count: 1});
 	});
 
-	it('limits writes in a second apart from reads', async () => {
+	it('limits writes per second separately from reads', async () => {
 		const tables = new MemoryTableService({writesPerSecond: 2});
 		const codes = await Promise.all([1, 2, 3].map(async value => catchCode(tables.transact(write('a', value)))));
 		expect(codes).to.deep.equal(['none', 'none', 'limited']);
@@ -90,7 +90,7 @@
 		expect(tables.gate.counts).to.deep.equal({reads: 1, writes: 4, refused: 1});
 	});
 
-	it('holds objects apart from the bytes of those who write and read them', async () => {
+	it('stores a copy of the bytes that a caller passes', async () => {
 		const objects = new MemoryObjectStore();
 		const content = Uint8Array.of(1, 2);
 		await objects.put('k', content);
--- a/packages/standins/__tests__/platform-adapters.spec.ts
+++ b/packages/standins/__tests__/platform-adapters.spec.ts
@@ -12,7 +12,7 @@
 	return 'none';
 }
 
-describe('the platform over HTTP', () => {
+describe('HTTP platform adapter', () => {
 	let server: PlatformServer;
 	let platform: Platform;
 
@@ -29,14 +29,14 @@
 		await server.stop();
 	});
 
-	it('reads what was written, whatever stands in the key', async () => {
+	it('reads written rows whose keys contain special characters', async () => {
 		await write('a/b c%2F?', 0);
 		expect(await platform.tables.read('t', 'a/b c%2F?')).to.deep.equal({key: 'a/b c%2F?', value: {key: 'a/b c%2F?'}, version: 1});
 		expect(await platform.tables.read('t', 'other')).to.equal(undefined);
 		expect(await platform.tables.scan('t', {prefix: 'a/', limit: 5})).to.have.lengthOf(1);
 	});
 
-	it('tells a conflict, a limit and an outage as not done', async () => {
+	it('reports a conflict, a rate limit and an outage as writes without effect', async () => {
 		await write('a', 0);
 		expect(await catchCode(write('a', 0))).to.equal('conflict');
 		server.tables.switches.writesPerSecond = 0.001;
@@ -47,13 +47,13 @@
 		expect(await platform.tables.read('t', 'b')).to.equal(undefined);
 	});
 
-	it('does not know of a write whose answer was lost', async () => {
+	it('reports a write whose answer was lost as unknown', async () => {
 		server.tables.switches.answersToLose = 1;
 		expect(await catchCode(write('a', 0))).to.equal('unknown');
 		expect(await platform.tables.read('t', 'a')).to.deep.include({version: 1});
 	});
 
-	it('keeps objects', async () => {
+	it('stores objects', async () => {
 		await platform.objects.put('step/1', Uint8Array.of(0, 255));
 		expect([...(await platform.objects.get('step/1'))!]).to.deep.equal([0, 255]);
 		expect(await platform.objects.get('step/2')).to.equal(undefined);
--- a/packages/standins/__tests__/platform-server.spec.ts
+++ b/packages/standins/__tests__/platform-server.spec.ts
@@ -14,7 +14,7 @@
 	return listed.map(({state}) => state);
 }
 
-describe('the lagging platform', () => {
+describe('MemoryMembershipList and MemoryWeightStore', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -25,7 +25,7 @@
 		clock.uninstall();
 	});
 
-	it('shows an announcement after its lag, and the one before it until then', async () => {
+	it('lists an announcement after the lag, and the previous one until then', async () => {
 		const members = new MemoryMembershipList({lagMs: 2000});
 		await members.announce(createMember('live'));
 		expect(await members.list()).to.deep.equal([]);
@@ -45,7 +45,7 @@
 		expect(await members.list()).to.deep.equal([]);
 	});
 
-	it('lets those who fetch weights at once wait for each other', async () => {
+	it('queues simultaneous transfers of weights', async () => {
 		const weights = new MemoryWeightStore({versionBytes: 1000, bytesPerSecond: 1000});
 		weights.publish('trail', 4);
 		const finished: number[] = [];
@@ -59,7 +59,7 @@
 		expect(finished).to.deep.equal([1, 2, 3]);
 	});
 
-	it('has no weights that were not published', async () => {
+	it('refuses to transfer weights that were not published', async () => {
 		const weights = new MemoryWeightStore();
 		weights.publish('trail', 4);
 		let code = '';
--- a/packages/standins/__tests__/row-pages.spec.ts
+++ b/packages/standins/__tests__/row-pages.spec.ts
@@ -4,7 +4,7 @@
 import {MemoryRowStore} from '../src/index.js';
 
 describe('readPages', () => {
-	it('reads each row of a range once, in the order of the keys, however many pages it takes', async () => {
+	it('reads each row of a range once, in key order, over any number of pages', async () => {
 		const store = new MemoryRowStore();
 		const keys = Array.from({length: 23}, (_, i) => `k${String(i).padStart(2, '0')}`);
 		await store.commit({
--- a/packages/standins/__tests__/services.spec.ts
+++ b/packages/standins/__tests__/services.spec.ts
@@ -9,7 +9,7 @@
 	return response.body.json();
 }
 
-describe('plain stand-ins', () => {
+describe('stand-ins for plain services', () => {
 	it('count each posting by its key, also when the answer is lost', async () => {
 		const ledger = new LedgerServer();
 		const origin = await ledger.start();
@@ -36,7 +36,7 @@
 		await scorer.stop();
 	});
 
-	it('relay bytes until silenced, and go on for new connections', async () => {
+	it('relay bytes until silenced, and continue to relay new connections', async () => {
 		const ledger = new LedgerServer();
 		const relay = new Relay(new URL(await ledger.start()).host);
 		const address = await relay.start();
--- a/packages/standins/src/engine-models.ts
+++ b/packages/standins/src/engine-models.ts
@@ -1,5 +1,5 @@
 /**
- * The models that a stand-in engine holds, and the orders that change them.
+ * The models that a stand-in engine has loaded, and the orders that change them.
  */
 import {PlatformError} from '@wasabiusher/backends';
 import type {EngineSwitches, Order} from './engine-settings.js';
@@ -11,18 +11,18 @@
 	swapMs: number;
 	honoursFence: boolean;
 	switches: EngineSwitches;
-	/** Where weights come from; without one they are there at once. */
+	/** Source of the weights. Without one, fetching takes no time. */
 	weights?: WeightSource;
 };
 
-/** Carries out orders; an order resolves once its state is in force. */
+/** Executes orders. An order resolves when the state that it requests is active. */
 export class EngineModels {
 	role = 'any';
 	readonly #settings: EngineModelsSettings;
 	readonly #versions: Map<string, number>;
 	readonly #fetched = new Set<string>();
 	#highestFence = 0;
-	#swaps = 0;
+	#runningSwaps = 0;
 
 	readonly #handlers: {[Kind in Order['kind']]: (order: Extract<Order, {kind: Kind}>) => void | Promise<void>} = {
 		load: async ({model, version}) => this.#load(model, version),
@@ -40,12 +40,12 @@
 		this.#versions = new Map(Object.entries(settings.models));
 	}
 
-	/** Whether weights are being put in force, while no token is made. */
+	/** Whether weights are being activated. The engine generates no tokens in this time. */
 	get isSwapping(): boolean {
-		return this.#swaps > 0;
+		return this.#runningSwaps > 0;
 	}
 
-	versionOf(model: string): number | undefined {
+	getVersion(model: string): number | undefined {
 		return this.#versions.get(model);
 	}
 
@@ -53,23 +53,27 @@
 		return [...this.#versions].map(([model, version]) => ({model, version}));
 	}
 
-	/** Throws `PlatformError`: `fenced`, or `refused` when a swap fails. */
-	async carryOut(order: Order): Promise<void> {
+	/**
+	 * Executes an order.
+	 *
+	 * @throws {PlatformError} `fenced` for an older fencing token, `refused` when a swap fails
+	 */
+	async execute(order: Order): Promise<void> {
 		if (this.#settings.honoursFence && order.fence < this.#highestFence) {
 			throw new PlatformError('fenced', `fence ${order.fence} is older than ${this.#highestFence}`);
 		}
 
 		this.#highestFence = Math.max(this.#highestFence, order.fence);
-		// The table pairs each kind with a handler of that kind's order.
+		// The handler table maps each kind to a handler of orders of that kind.
 		// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion
 		await (this.#handlers[order.kind] as (order: Order) => void | Promise<void>)(order);
 	}
 
 	async #load(model: string, version: number): Promise<void> {
 		await this.#fetch(model, version);
-		this.#swaps += 1;
+		this.#runningSwaps += 1;
 		await wait(this.#settings.swapMs);
-		this.#swaps -= 1;
+		this.#runningSwaps -= 1;
 		if (this.#settings.switches.loadsToFail > 0) {
 			this.#settings.switches.loadsToFail -= 1;
 			throw new PlatformError('refused', `the swap to version ${version} of ${model} failed`);
--- a/packages/standins/src/engine-settings.ts
+++ b/packages/standins/src/engine-settings.ts
@@ -1,39 +1,39 @@
 /**
- * Settings of the stand-in engine, and the requests that it takes.
+ * Settings of the stand-in engine, and the schemas of its requests.
  */
 import {randomUUID} from 'node:crypto';
 import {z} from 'zod';
 
-/** Prompts that hold this text crash the engine. */
+/** A prompt that contains this text crashes the engine. */
 export const poisonMarker = 'poison-pill';
 
-/** Settings with their defaults, so that a test names only what it is about. */
+/** Settings with defaults, so that a test states only the settings that it depends on. */
 export const engineSettingsSchema = z.object({
-	/** Requests batched at once. */
+	/** Maximum number of requests in the running batch. */
 	slots: z.int().positive(),
-	/** Time a token takes, in milliseconds, whatever the batch; less than 1 makes several tokens a millisecond. */
+	/** Time per token, in milliseconds, independent of the batch size. Less than 1 generates several tokens per millisecond. */
 	tokenMs: z.number().positive(),
-	/** Models held at each start, with their versions. */
+	/** Models loaded after each start, with their versions. */
 	models: z.record(z.string(), z.int()),
-	/** Tokens in one event of a stream. */
+	/** Tokens per event of a stream. */
 	tokensPerEvent: z.int().positive().default(1),
-	/** Time to compute one block of a prompt that is not cached, in milliseconds. */
+	/** Time to compute one uncached block of a prompt, in milliseconds. */
 	prefillMs: z.number().nonnegative().default(0),
-	/** Blocks of prompts that the cache holds. */
+	/** Capacity of the prefix cache, in blocks. */
 	cacheBlocks: z.int().positive().default(4096),
-	/** How late cache events show, in milliseconds. */
+	/** Delay before a cache event is listed, in milliseconds. */
 	cacheEventLagMs: z.number().nonnegative().default(0),
-	/** Fraction of cache events never told. */
+	/** Fraction of cache events that are never listed. */
 	cacheEventLoss: z.number().min(0).max(1).default(0),
-	/** How old the load in a report is, in milliseconds. */
+	/** Age of the load figures in a report, in milliseconds. */
 	reportLagMs: z.number().nonnegative().default(0),
-	/** Time to put loaded weights in force, in milliseconds; no token is made meanwhile. */
+	/** Time to activate loaded weights, in milliseconds. The engine generates no tokens in this time. */
 	swapMs: z.number().nonnegative().default(0),
-	/** Whether an order with an older fencing number is refused. */
+	/** Whether orders with an older fencing token are refused. */
 	honoursFence: z.boolean().default(true),
-	/** Time from a crash to being back, in milliseconds. */
+	/** Time from a crash until the engine listens again, in milliseconds. */
 	restartMs: z.number().nonnegative().default(1000),
-	/** Seed of what is left to chance. */
+	/** Seed of the random numbers. */
 	seed: z.int().default(1),
 });
 
@@ -43,11 +43,11 @@
 	model: z.string(),
 	prompt: z.string().optional(),
 	messages: z.array(z.object({content: z.string()})).optional(),
-	/** Most tokens made by this run; those of `resume_from` do not count. */
+	/** Maximum number of tokens to generate in this run; the tokens of `resume_from` are not counted. */
 	max_tokens: z.int().positive(),
 	request_id: z.string().default(() => randomUUID()),
 	resume_from: z.string().optional(),
-	/** 0 is the least urgent. */
+	/** Higher is more urgent; 0 is the lowest priority. */
 	priority: z.int().default(0),
 });
 
@@ -57,7 +57,7 @@
 	z.object({
 		kind: z.literal('load'), model: z.string(), version: z.int(), fence: z.int(),
 	}),
-	// Fetches the weights without putting them in force, so that the later load is short.
+	// Fetches the weights without activating them, which shortens the later load.
 	z.object({
 		kind: z.literal('prefetch'), model: z.string(), version: z.int(), fence: z.int(),
 	}),
@@ -67,13 +67,13 @@
 
 export type Order = z.infer<typeof orderSchema>;
 
-/** Failures that can be set at any time. */
+/** Fault-injection switches, which can be set at any time. */
 export const engineSwitchesSchema = z.strictObject({
-	/** How many of the next swaps fail, with the old version left in force. */
+	/** Number of the next swaps that fail and leave the old version active. */
 	loadsToFail: z.int().nonnegative(),
-	/** Steps taken for one token; 1 is the full speed. */
+	/** Steps per token; 1 is full speed. */
 	slowness: z.int().positive(),
-	/** Whether streams stand still, with their connections open. */
+	/** Whether streams stall while their connections stay open. */
 	isStalled: z.boolean(),
 });
 
--- a/packages/standins/src/engine.ts
+++ b/packages/standins/src/engine.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of a model engine behind an HTTP server: continuous batching, prefix cache, orders and crashes.
+ * Stand-in for a model engine behind an HTTP server, with continuous batching, a prefix cache, weight orders and crashes.
  */
 import {randomUUID} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
@@ -19,12 +19,12 @@
 import type {WeightSource} from './memory-weight-store.js';
 import {PrefixCache} from './prefix-cache.js';
 
-/** Shortest step, in milliseconds: timers have no finer grain. */
+/** Minimum step, in milliseconds, which is the resolution of timers. */
 const minStepMs = 1;
 
 type Load = Pick<EngineReport, 'running' | 'waiting' | 'tokensPerSecond' | 'cacheUse'>;
 
-/** What an exported cache holds: enough to check that it is put back under the run it came from. */
+/** Content of an exported cache: enough to check that it is imported for the run that it was exported from. */
 const exportedCacheSchema = z.object({id: z.string(), model: z.string(), tokens: z.int()});
 
 const answerEngineError: ErrorHandler = (error, {response}) => {
@@ -37,10 +37,10 @@
 	sendJson(response, {fenced: 412, refused: 422}[String(code)] ?? 400, {detail: String(error)});
 };
 
-/** One engine. It keeps nothing over a crash: it comes back with the models of its settings. */
+/** One engine. A crash discards all state: the engine restarts with the models of its settings. */
 export class EngineServer {
 	readonly switches: EngineSwitches = {loadsToFail: 0, slowness: 1, isStalled: false};
-	/** How often it has crashed. */
+	/** Number of crashes. */
 	crashes = 0;
 	readonly #settings: z.infer<typeof engineSettingsSchema>;
 	readonly #weights: WeightSource | undefined;
@@ -50,47 +50,47 @@
 	#models!: EngineModels;
 	#batch!: Batch;
 	#cache!: PrefixCache;
-	#imported = new Set<string>();
-	#loads: Array<Load & {at: number}> = [];
+	#importedCaches = new Set<string>();
+	#loadHistory: Array<Load & {at: number}> = [];
 	#address = '';
-	#steps = 0;
-	#tokensBefore = 0;
-	#timer: NodeJS.Timeout | undefined;
-	#restart: NodeJS.Timeout | undefined;
+	#stepCount = 0;
+	#tokensBeforeLastStart = 0;
+	#stepTimer: NodeJS.Timeout | undefined;
+	#restartTimer: NodeJS.Timeout | undefined;
 
-	/** @param weights - where loads take their time; without it weights are there at once */
+	/** @param weights - source that loads fetch weights from; without it fetching takes no time */
 	constructor(settings: EngineSettings, weights?: WeightSource) {
 		this.#settings = engineSettingsSchema.parse(settings);
 		this.#weights = weights;
 		this.#stepMs = Math.max(minStepMs, this.#settings.tokenMs);
 		this.#reset();
-		this.#addGeneration();
-		this.#addOperations();
+		this.#addGenerationRoutes();
+		this.#addOperationRoutes();
 	}
 
-	/** Tokens made since the first start, finished or not. */
+	/** Tokens generated since the first start, those of unfinished generations included. */
 	get tokensMade(): number {
-		return this.#tokensBefore + this.#batch.tokensMade;
+		return this.#tokensBeforeLastStart + this.#batch.tokensMade;
 	}
 
-	/** Resolves to the origin to reach it by. */
+	/** Resolves to the origin to connect to. */
 	async start(address = '127.0.0.1:0'): Promise<string> {
 		this.#address = await this.#server.listen(address);
 		return `http://${this.#address}`;
 	}
 
 	async stop(): Promise<void> {
-		clearInterval(this.#timer);
-		clearTimeout(this.#restart);
+		clearInterval(this.#stepTimer);
+		clearTimeout(this.#restartTimer);
 		await this.#server.kill();
 	}
 
-	/** Cuts all connections and is back at the same address after `restartMs`, with nothing kept. */
+	/** Closes all connections, discards all state and listens at the same address again after `restartMs`. */
 	async crash(): Promise<void> {
 		this.crashes += 1;
 		this.#reset();
 		await this.#server.kill();
-		this.#restart = setTimeout(() => {
+		this.#restartTimer = setTimeout(() => {
 			void this.#server.listen(this.#address);
 		}, this.#settings.restartMs);
 	}
@@ -99,12 +99,12 @@
 		const {
 			models, swapMs, honoursFence, slots, tokenMs, tokensPerEvent, cacheBlocks, cacheEventLagMs, cacheEventLoss, seed,
 		} = this.#settings;
-		clearInterval(this.#timer);
-		this.#timer = undefined;
-		this.#tokensBefore += (this.#batch as Batch | undefined)?.tokensMade ?? 0;
+		clearInterval(this.#stepTimer);
+		this.#stepTimer = undefined;
+		this.#tokensBeforeLastStart += (this.#batch as Batch | undefined)?.tokensMade ?? 0;
 		this.#startId = randomUUID();
-		this.#imported = new Set();
-		this.#loads = [];
+		this.#importedCaches = new Set();
+		this.#loadHistory = [];
 		const engineModels = new EngineModels({
 			models, swapMs, honoursFence, switches: this.switches, weights: this.#weights,
 		});
@@ -114,11 +114,11 @@
 			slots,
 			tokensPerStep: Math.max(1, Math.round(this.#stepMs / tokenMs)),
 			tokensPerEvent,
-			versionOf: model => engineModels.versionOf(model),
+			getVersion: model => engineModels.getVersion(model),
 		});
 	}
 
-	#addGeneration(): void {
+	#addGenerationRoutes(): void {
 		this.#server.on('post', '/v1/completions', async ({request, response}) => {
 			await this.#generate(completionSchema.parse(await readJson(request)), response);
 		});
@@ -138,9 +138,9 @@
 		});
 	}
 
-	#addOperations(): void {
+	#addOperationRoutes(): void {
 		this.#server.on('post', '/v1/orders', async ({request, response}) => {
-			await this.#models.carryOut(orderSchema.parse(await readJson(request)));
+			await this.#models.execute(orderSchema.parse(await readJson(request)));
 			sendJson(response, 200, {});
 		});
 		this.#server.on('get', '/v1/report', ({response}) => {
@@ -169,7 +169,7 @@
 			return;
 		}
 
-		if (this.#models.versionOf(model) === undefined) {
+		if (this.#models.getVersion(model) === undefined) {
 			sendJson(response, 404, {detail: `model ${model} is not loaded`});
 			return;
 		}
@@ -184,17 +184,17 @@
 		});
 		const sink = createSink(response);
 		batch.add({
-			id, model, prompt, priority, resumed: countTokens(resumeFrom), made: 0, pending: undefined, sink, prefillSteps: this.#prefill(id, prompt), ...findEnd(prompt, maxTokens),
+			id, model, prompt, priority, resumed: countTokens(resumeFrom), made: 0, pending: undefined, sink, prefillSteps: this.#countPrefillSteps(id, prompt), ...findEnd(prompt, maxTokens),
 		});
-		this.#timer ??= setInterval(() => {
+		this.#stepTimer ??= setInterval(() => {
 			this.#step();
 		}, this.#stepMs);
 	}
 
-	/** Steps that computing the prompt takes; none when the run's cache was imported. */
-	#prefill(id: string, prompt: string): number {
-		const missing = this.#cache.store(prompt);
-		return this.#imported.delete(id) ? 0 : Math.ceil(missing * this.#settings.prefillMs / this.#stepMs);
+	/** Returns the number of steps that computing the prompt takes; 0 when the run's cache was imported. */
+	#countPrefillSteps(id: string, prompt: string): number {
+		const uncachedBlocks = this.#cache.store(prompt);
+		return this.#importedCaches.delete(id) ? 0 : Math.ceil(uncachedBlocks * this.#settings.prefillMs / this.#stepMs);
 	}
 
 	async #importCache({request, response, parameters}: Exchange): Promise<void> {
@@ -203,32 +203,32 @@
 			throw new PlatformError('refused', `the cache is of run ${id}, not of ${parameters.id}`);
 		}
 
-		this.#imported.add(id);
+		this.#importedCaches.add(id);
 		sendJson(response, 200, {});
 	}
 
 	#step(): void {
 		if (this.#batch.size === 0) {
-			// An idle engine costs nothing; the next request starts the timer again.
-			clearInterval(this.#timer);
-			this.#timer = undefined;
+			// An idle engine runs no timer. The next request starts it again.
+			clearInterval(this.#stepTimer);
+			this.#stepTimer = undefined;
 			return;
 		}
 
-		this.#steps += 1;
+		this.#stepCount += 1;
 		const {slowness, isStalled} = this.switches;
-		if (!isStalled && !this.#models.isSwapping && this.#steps % slowness === 0) {
+		if (!isStalled && !this.#models.isSwapping && this.#stepCount % slowness === 0) {
 			this.#batch.step();
 		}
 	}
 
-	/** Models and the start's id are of now; the load is as old as the settings say. */
+	/** The models and the start id are current. The load figures are `reportLagMs` old. */
 	#report(): EngineReport {
 		const now = performance.now();
-		this.#loads.push({...this.#describeLoad(), at: now});
-		const shown = this.#loads.findLastIndex(({at}) => at <= now - this.#settings.reportLagMs);
-		this.#loads = this.#loads.slice(Math.max(0, shown));
-		const {at: _, ...load} = this.#loads[0]!;
+		this.#loadHistory.push({...this.#describeLoad(), at: now});
+		const latestVisible = this.#loadHistory.findLastIndex(({at}) => at <= now - this.#settings.reportLagMs);
+		this.#loadHistory = this.#loadHistory.slice(Math.max(0, latestVisible));
+		const {at: _, ...load} = this.#loadHistory[0]!;
 		return {
 			...load, models: this.#models.list(), role: this.#models.role, slots: this.#settings.slots, startId: this.#startId,
 		};
@@ -242,7 +242,7 @@
 	}
 }
 
-/** Tokens of the stand-in are words. */
+/** Counts words, which are the tokens of the stand-in. */
 function countTokens(text: string): number {
 	return text.split(' ').filter(Boolean).length;
 }
--- a/packages/standins/src/http-weight-source.ts
+++ b/packages/standins/src/http-weight-source.ts
@@ -1,12 +1,13 @@
 /**
- * The weight store of a platform stand-in in another process.
+ * Fetches weights from the weight store of a platform stand-in in another process.
  */
 import {callEmpty} from '@wasabiusher/backends';
 import type {WeightSource} from './memory-weight-store.js';
 
-/** Longest transfer, in milliseconds; a rate-limited store takes its time. */
+/** Time-out of a transfer, in milliseconds. It is long because a rate-limited store is slow. */
 const transferTimeoutMs = 600_000;
 
+/** Weight source over HTTP. */
 export class HttpWeightSource implements WeightSource {
 	readonly #origin: string;
 
--- a/packages/standins/src/index.ts
+++ b/packages/standins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins of what surrounds the system, for the demo and for tests. */
+/** Small stand-ins for the external systems that the service depends on, for the demo and for tests. */
 export * from './engine.js';
 export {blockCharacters, listPrefixes} from './prefix-cache.js';
 export {
--- a/packages/standins/src/ledger.ts
+++ b/packages/standins/src/ledger.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of a plain service: a ledger that counts each posting by its key, so that doubles and losses show.
+ * Stand-in for a plain service: a ledger that counts postings by key, so that duplicates and losses can be detected.
  */
 import {z} from 'zod';
 import {HttpServer, readJson, sendJson} from '@wasabiusher/daemon';
@@ -8,14 +8,15 @@
 const postingSchema = z.looseObject({key: z.string()});
 
 export type LedgerSettings = {
-	/** Time that a posting takes, in milliseconds. */
+	/** Processing time of a posting, in milliseconds. */
 	postingMs: number;
 };
 
+/** HTTP server of the ledger. */
 export class LedgerServer {
-	/** How often each posting was taken. */
+	/** Number of times that each posting was processed, by key. */
 	readonly postings = new Map<string, number>();
-	/** Postings taken whose answers are to be lost, by cutting the connection. */
+	/** Number of the next postings that are processed and whose connection is closed without an answer. */
 	answersToLose = 0;
 	readonly #settings: LedgerSettings;
 	readonly #server = new HttpServer();
@@ -24,7 +25,7 @@
 		this.#settings = {postingMs};
 		this.#server.on('post', '/postings', async ({request, response}) => {
 			const {key} = postingSchema.parse(await readJson(request));
-			await this.#work();
+			await this.#waitForPosting();
 			const count = (this.postings.get(key) ?? 0) + 1;
 			this.postings.set(key, count);
 			if (this.answersToLose > 0) {
@@ -46,6 +47,7 @@
 		});
 	}
 
+	/** Resolves to the origin to connect to. */
 	async start(address = '127.0.0.1:0'): Promise<string> {
 		return `http://${await this.#server.listen(address)}`;
 	}
@@ -54,7 +56,7 @@
 		await this.#server.kill();
 	}
 
-	async #work(): Promise<void> {
+	async #waitForPosting(): Promise<void> {
 		if (this.#settings.postingMs > 0) {
 			await wait(this.#settings.postingMs);
 		}
--- a/packages/standins/src/main.ts
+++ b/packages/standins/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher-standins`: one stand-in a process, to run the whole system by hand.
+ * `wasabiusher-standins`: runs one stand-in per process, so that the whole system can be run by hand.
  */
 import {loadSettings, runDaemon} from '@wasabiusher/daemon';
 import {Log} from '@wasabiusher/shared';
--- a/packages/standins/src/memory-duties.ts
+++ b/packages/standins/src/memory-duties.ts
@@ -1,41 +1,42 @@
 /**
- * The platform's calls that are one host's duty at a time, held in memory, with what goes wrong there.
+ * In-memory stand-in for the platform calls that one host at a time performs as its duty, with injectable failures.
  */
 import {
 	PlatformError, type DutyClient, type DutyOutcome, type DutyRight, type UsageReport,
 } from '@wasabiusher/backends';
 
-/** Set at any time; they hold for calls that begin afterwards. */
+/** Fault-injection switches. They can be set at any time and apply to calls that begin afterwards. */
 export type DutySwitches = {
-	/** Performs nothing and answers nothing. */
+	/** Calls have no effect and fail without an answer. */
 	isDown: boolean;
-	/** Refuses calls with a lower fence than the highest seen. */
+	/** Refuses calls with a fence lower than the highest received. */
 	checksFences: boolean;
-	/** How many of the next calls are performed and lose their answer. */
+	/** Number of the next calls that are performed and whose answer is lost. */
 	answersToLose: number;
-	/** How many of the next calls lose their answer and are performed only after `lateMs`. */
+	/** Number of the next calls whose answer is lost and that are performed only after `lateMs`. */
 	callsToDelay: number;
+	/** Delay of delayed calls, in milliseconds. */
 	lateMs: number;
-	/** How many of the next calls are refused as too many. */
+	/** Number of the next calls that are refused by the rate limit. */
 	callsToLimit: number;
 };
 
-/** A call that the platform has performed. */
+/** A call that the platform has received. `at` is in milliseconds since the epoch. */
 export type PerformedReport = DutyRight & {window: number; counts: Record<string, number>; at: number};
 
-/** Accepts reports, and notes what must never happen. */
+/** Accepts usage reports, and records violations of the rules for duties. */
 export class MemoryDuties implements DutyClient {
 	readonly switches: DutySwitches = {
 		isDown: false, checksFences: true, answersToLose: 0, callsToDelay: 0, lateMs: 2000, callsToLimit: 0,
 	};
 
-	/** Calls that were accepted, in their order. */
+	/** Accepted calls, in order of arrival. */
 	readonly performed: PerformedReport[] = [];
-	/** Calls that were refused for their fence. */
+	/** Calls that were refused because of an older fence. */
 	readonly fenced: PerformedReport[] = [];
-	/** What the platform would complain of: two reports of a window, two holders with one fence. */
+	/** Violations: different reports for one window, or different holders with the same fence. */
 	readonly breaches: string[] = [];
-	#highest = 0;
+	#highestFence = 0;
 
 	async reportUsage(report: UsageReport, right: DutyRight): Promise<DutyOutcome> {
 		const {switches} = this;
@@ -65,7 +66,7 @@
 		return outcome;
 	}
 
-	/** The counts that were accepted first of each window. */
+	/** Returns the counts of the first accepted report of each window. */
 	readAccepted(): Map<number, Record<string, number>> {
 		const accepted = new Map<number, Record<string, number>>();
 		for (const {window, counts} of this.performed) {
@@ -79,25 +80,25 @@
 		const call = {
 			holder, fence, window, counts: Object.fromEntries([...counts].toSorted(([a], [b]) => a < b ? -1 : 1)), at: Date.now(),
 		};
-		if (this.switches.checksFences && fence < this.#highest) {
+		if (this.switches.checksFences && fence < this.#highestFence) {
 			this.fenced.push(call);
 			return 'fenced';
 		}
 
-		this.#highest = Math.max(this.#highest, fence);
-		this.#check(call);
+		this.#highestFence = Math.max(this.#highestFence, fence);
+		this.#checkInvariants(call);
 		this.performed.push(call);
 		return 'accepted';
 	}
 
-	#check(call: PerformedReport): void {
+	#checkInvariants(call: PerformedReport): void {
 		for (const other of this.performed) {
 			if (other.window === call.window && JSON.stringify(other.counts) !== JSON.stringify(call.counts)) {
-				this.breaches.push(`window ${call.window} was reported with other counts`);
+				this.breaches.push(`window ${call.window} was reported again with different counts`);
 			}
 
 			if (other.fence === call.fence && other.holder !== call.holder) {
-				this.breaches.push(`${call.holder} and ${other.holder} have acted under the fence ${call.fence}`);
+				this.breaches.push(`${call.holder} and ${other.holder} both acted under the fence ${call.fence}`);
 			}
 		}
 	}
--- a/packages/standins/src/memory-membership.ts
+++ b/packages/standins/src/memory-membership.ts
@@ -1,23 +1,24 @@
 /**
- * A membership list that lags: what was announced shows later, and the dead stay listed for a while.
+ * A membership list with lag: announcements become visible later, and dead hosts stay listed until they expire.
  */
 import type {Member, MembershipList} from '@wasabiusher/backends';
 
 export type MembershipLag = {
-	/** Time before an announcement shows, in milliseconds. */
+	/** Delay before an announcement is visible, in milliseconds. */
 	lagMs: number;
-	/** A host that has not announced itself for this long is no longer listed, in milliseconds. */
+	/** Time since its last announcement after which a host is no longer listed, in milliseconds. */
 	expiryMs: number;
 };
 
-/** Six announcements missed, at the agents' five seconds. */
+/** Six missed announcements at the agents' interval of 5 s. */
 const defaultExpiryMs = 30_000;
 
 type Announcement = {member: Member; at: number};
 
+/** Membership list in memory. */
 export class MemoryMembershipList implements MembershipList {
 	readonly lag: MembershipLag;
-	/** By id, oldest first; those that newer visible ones replace are dropped. */
+	/** Announcements by host id, oldest first. Announcements replaced by a newer visible one are dropped. */
 	readonly #announcements = new Map<string, Announcement[]>();
 
 	constructor({lagMs = 0, expiryMs = defaultExpiryMs}: Partial<MembershipLag> = {}) {
--- a/packages/standins/src/memory-row-store.ts
+++ b/packages/standins/src/memory-row-store.ts
@@ -1,5 +1,5 @@
 /**
- * A store of rows in parts with a feed of changes, held in memory, with the failures that such a store documents.
+ * In-memory store of partitioned rows with a change feed, with the failures that such a store documents.
  */
 import {
 	PlatformError, type BlobStore, type ChangePage, type CommitReceipt, type RowAddress, type RowChange, type RowPage, type RowRange, type RowStore,
@@ -7,64 +7,65 @@
 } from '@wasabiusher/backends';
 import {wait} from './wait.js';
 
-/** Most rows of one answer. */
-const pageRows = 500;
+/** Maximum number of rows per answer. */
+const maxPageRows = 500;
 
-/** Set at any time; they hold for calls that begin afterwards. */
+/** Fault-injection switches. They can be set at any time and apply to calls that begin afterwards. */
 export type RowStoreSwitches = {
-	/** Refuses each call at once; nothing is done. */
+	/** Refuses each call immediately; calls have no effect. */
 	isDown: boolean;
-	/** Refuses transactions on rows of these parts and reads of them, while the other parts and the feed go on. */
+	/** Refuses transactions on rows of these parts and reads of them, while the other parts and the change feed stay available. */
 	downParts: ReadonlySet<string>;
-	/** Reads of these tables find nothing, as from a copy that lies behind. */
+	/** Reads of these tables return no rows, as from a stale replica. */
 	hiddenTables: ReadonlySet<string>;
-	/** Lets each call wait for this time and then fail without an answer; nothing is done. 0 switches it off. */
+	/** Time after which each call fails without an answer and without effect, in milliseconds. 0 disables this. */
 	silentMs: number;
-	/** Time before a call takes effect, in milliseconds. */
+	/** Delay before a call takes effect, in milliseconds. */
 	delayMs: number;
-	/** How many of the next transactions take effect and lose their answer. */
+	/** Number of the next transactions that take effect and whose answer is lost. */
 	answersToLose: number;
-	/** How many of the next transactions lose their answer and take effect only after `lateMs`, if their conditions hold then. */
+	/** Number of the next transactions whose answer is lost and that take effect only after `lateMs`, if their conditions hold then. */
 	writesToDelay: number;
+	/** Delay of delayed transactions, in milliseconds. */
 	lateMs: number;
 };
 
-/** The store; several views of it may have switches of their own. */
+/** A view of the store. Several views share the same rows, each with its own switches. */
 export class MemoryRowStore implements RowStore, BlobStore {
 	readonly switches: RowStoreSwitches = {
 		isDown: false, downParts: new Set(), hiddenTables: new Set(), silentMs: 0, delayMs: 0, answersToLose: 0, writesToDelay: 0, lateMs: 1000,
 	};
 
-	/** Calls that have begun, refused ones included. */
+	/** Number of calls, refused calls included. */
 	readonly counts = {commits: 0, reads: 0, follows: 0};
-	readonly #core: RowCore;
+	readonly #rows: SharedRows;
 
-	constructor(core: RowCore = new RowCore()) {
-		this.#core = core;
+	constructor(core: SharedRows = new SharedRows()) {
+		this.#rows = core;
 	}
 
-	/** Another host's way to the same rows. */
+	/** Creates another host's view of the same rows. */
 	createView(): MemoryRowStore {
-		return new MemoryRowStore(this.#core);
+		return new MemoryRowStore(this.#rows);
 	}
 
-	/** Forgets the history: who follows must read anew. */
+	/** Discards the change history. Followers that are behind must read the rows again. */
 	compact(): void {
-		this.#core.compact();
+		this.#rows.compact();
 	}
 
 	async commit(transaction: RowTransaction): Promise<CommitReceipt> {
 		this.counts.commits += 1;
-		await this.#pass([...transaction.conditions, ...transaction.puts, ...transaction.deletes].map(({part}) => part));
+		await this.#applySwitches([...transaction.conditions, ...transaction.puts, ...transaction.deletes].map(({part}) => part));
 		if (this.switches.writesToDelay > 0) {
 			this.switches.writesToDelay -= 1;
 			setTimeout(() => {
-				this.#core.tryApply(transaction);
+				this.#rows.tryApply(transaction);
 			}, this.switches.lateMs);
 			throw new PlatformError('unknown', 'no answer');
 		}
 
-		const receipt = this.#core.apply(transaction);
+		const receipt = this.#rows.apply(transaction);
 		if (this.switches.answersToLose > 0) {
 			this.switches.answersToLose -= 1;
 			throw new PlatformError('unknown', 'the answer was lost');
@@ -75,38 +76,38 @@
 
 	async read(range: RowRange): Promise<RowPage> {
 		this.counts.reads += 1;
-		await this.#pass([range.part]);
-		const page = this.#core.read(range);
+		await this.#applySwitches([range.part]);
+		const page = this.#rows.read(range);
 		return this.switches.hiddenTables.has(range.table) ? {...page, rows: []} : page;
 	}
 
 	async follow(table: string, after: number, waitMs: number): Promise<ChangePage> {
 		this.counts.follows += 1;
-		await this.#pass();
-		return this.#core.follow(table, after, waitMs);
+		await this.#applySwitches();
+		return this.#rows.follow(table, after, waitMs);
 	}
 
 	async put(name: string, content: Uint8Array): Promise<void> {
-		await this.#pass();
-		this.#core.objects.set(name, content);
+		await this.#applySwitches();
+		this.#rows.objects.set(name, content);
 	}
 
 	async get(name: string): Promise<Uint8Array> {
-		await this.#pass();
-		const content = this.#core.objects.get(name);
+		await this.#applySwitches();
+		const content = this.#rows.objects.get(name);
 		if (!content) {
-			throw new PlatformError('missing', `there is no object ${name}`);
+			throw new PlatformError('missing', `object ${name} does not exist`);
 		}
 
 		return content;
 	}
 
 	async drop(name: string): Promise<void> {
-		await this.#pass();
-		this.#core.objects.delete(name);
+		await this.#applySwitches();
+		this.#rows.objects.delete(name);
 	}
 
-	async #pass(parts: readonly string[] = []): Promise<void> {
+	async #applySwitches(parts: readonly string[] = []): Promise<void> {
 		const {isDown, downParts, silentMs, delayMs} = this.switches;
 		if (isDown || parts.some(part => downParts.has(part))) {
 			throw new PlatformError('unavailable', 'the store is down');
@@ -123,20 +124,20 @@
 	}
 }
 
-/** The rows themselves. */
-class RowCore {
+/** The rows, objects and change history that all views share. */
+class SharedRows {
 	readonly objects = new Map<string, Uint8Array>();
 	readonly #rows = new Map<string, StoredValue>();
 	#history: RowChange[] = [];
-	#forgottenTo = 0;
+	#compactedVersion = 0;
 	#version = 0;
 	readonly #watchers = new Set<() => void>();
 
 	apply({conditions, puts, deletes}: RowTransaction): CommitReceipt {
 		for (const condition of conditions) {
-			const version = this.#rows.get(nameRow(condition))?.version ?? 0;
+			const version = this.#rows.get(getRowKey(condition))?.version ?? 0;
 			if (version !== condition.version) {
-				throw new PlatformError('conflict', `${nameRow(condition)} is at version ${version}, expected ${condition.version}`);
+				throw new PlatformError('conflict', `${getRowKey(condition)} is at version ${version}, expected ${condition.version}`);
 			}
 		}
 
@@ -145,12 +146,12 @@
 			const row = {
 				table, part, key, value, version: this.#version,
 			};
-			this.#rows.set(nameRow(row), row);
+			this.#rows.set(getRowKey(row), row);
 			this.#history.push(row);
 		}
 
 		for (const {table, part, key} of deletes) {
-			this.#rows.delete(nameRow({table, part, key}));
+			this.#rows.delete(getRowKey({table, part, key}));
 			this.#history.push({
 				table, part, key, value: undefined, version: this.#version,
 			});
@@ -163,7 +164,7 @@
 		return {version: this.#version, storeMs: performance.now()};
 	}
 
-	/** Applies a transaction whose sender no longer waits. */
+	/** Applies a transaction whose sender no longer waits. Ignores a conflict. */
 	tryApply(transaction: RowTransaction): void {
 		try {
 			this.apply(transaction);
@@ -174,54 +175,54 @@
 		}
 	}
 
-	read({table, part, from = '', to, limit = pageRows}: RowRange): RowPage {
+	read({table, part, from = '', to, limit = maxPageRows}: RowRange): RowPage {
 		const found = [...this.#rows.values()]
 			.filter(row => row.table === table && row.part === part && row.key >= from && (to === undefined || row.key < to))
 			.toSorted((a, b) => a.key < b.key ? -1 : 1);
-		const rows = found.slice(0, Math.min(limit, pageRows));
+		const rows = found.slice(0, Math.min(limit, maxPageRows));
 		return {
 			rows, hasMore: rows.length < found.length, version: this.#version, storeMs: performance.now(),
 		};
 	}
 
 	async follow(table: string, after: number, waitMs: number): Promise<ChangePage> {
-		if (after < this.#forgottenTo) {
-			throw new PlatformError('missing', 'that history is gone');
+		if (after < this.#compactedVersion) {
+			throw new PlatformError('missing', 'the change history after this version was compacted');
 		}
 
-		const list = () => this.#history.filter(change => change.table === table && change.version > after);
-		if (list().length === 0) {
-			await this.#waitForChange(() => list().length > 0, waitMs);
+		const listChanges = () => this.#history.filter(change => change.table === table && change.version > after);
+		if (listChanges().length === 0) {
+			await this.#waitForChange(() => listChanges().length > 0, waitMs);
 		}
 
-		return {changes: list(), version: this.#version, storeMs: performance.now()};
+		return {changes: listChanges(), version: this.#version, storeMs: performance.now()};
 	}
 
 	compact(): void {
 		this.#history = [];
-		this.#forgottenTo = this.#version;
+		this.#compactedVersion = this.#version;
 	}
 
-	async #waitForChange(hasCome: () => boolean, waitMs: number): Promise<void> {
+	async #waitForChange(hasChange: () => boolean, waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const finish = () => {
 				clearTimeout(timer);
-				this.#watchers.delete(look);
+				this.#watchers.delete(onChange);
 				resolve();
 			};
 
-			const look = () => {
-				if (hasCome()) {
+			const onChange = () => {
+				if (hasChange()) {
 					finish();
 				}
 			};
 
 			const timer = setTimeout(finish, waitMs);
-			this.#watchers.add(look);
+			this.#watchers.add(onChange);
 		});
 	}
 }
 
-function nameRow({table, part, key}: RowAddress): string {
+function getRowKey({table, part, key}: RowAddress): string {
 	return `${table}/${part}/${key}`;
 }
--- a/packages/standins/src/memory-serving.ts
+++ b/packages/standins/src/memory-serving.ts
@@ -1,78 +1,80 @@
 /**
- * Endpoints that are called directly, held in memory, with the failures that such endpoints document.
+ * In-memory stand-ins for directly called endpoints, with the failures that such endpoints document.
  */
 import {
 	PlatformError, type EndpointTarget, type OrderOutcome, type RunEvent, type ServingAnswer, type ServingClient, type ServingHead, type ServingReport,
 	type ServingRequest, type ServingRun, type ServingStream, type WeightOrder,
 } from '@wasabiusher/backends';
 
-/** Set at any time. */
+/** Fault-injection switches and timings, which can be set at any time. */
 export type ServingSwitches = {
-	/** Can not be connected to. */
+	/** Refuses connections. */
 	isDown: boolean;
-	/** Takes requests and sends nothing from then on, as if it were cut off. */
+	/** Accepts requests and sends nothing, as in a network partition. */
 	isDark: boolean;
-	/** Refuses each request as not run. */
+	/** Refuses each request without running it. */
 	isFull: boolean;
-	/** Answers each request with this status of its own; 200 makes it whole. */
+	/** Status of the answers; runs send events only with 200. */
 	status: number;
-	/** Time until a call is answered, in milliseconds. */
+	/** Response time of a call, in milliseconds. */
 	callMs: number;
-	/** Time for each event of a run, in milliseconds. */
+	/** Time per event of a run, in milliseconds. */
 	eventMs: number;
-	/** Events of a whole run. */
+	/** Number of events of a complete run. */
 	events: number;
-	/** Breaks the next run after this many of its events. */
+	/** Number of events after which the next run is interrupted. */
 	breakAfter: number | undefined;
-	/** How many of the next answers have no length; a run among them ends early as if it were whole. */
+	/** Number of the next answers without a content length. A run among them ends early as if it were complete. */
 	unframed: number;
-	/** Loses the answer of the next call, which runs all the same. */
+	/** Number of the next calls that run and whose answer is lost. */
 	answersToLose: number;
-	/** Orders that are answered by nothing and carried out after `lateMs` if their condition holds then. */
+	/** Number of the next orders that get no answer and are executed after `lateMs` if their condition holds then. */
 	ordersToDelay: number;
+	/** Delay of delayed orders, in milliseconds. */
 	lateMs: number;
+	/** Time to load weights, in milliseconds. */
 	loadMs: number;
-	/** Age of what a report tells, in milliseconds. */
+	/** Age of the state in a report, in milliseconds. */
 	reportLagMs: number;
 };
 
-/** What has happened at an endpoint. */
+/** A request that an endpoint began to run. */
 export type ServingRecord = {attemptId: string; resumeAfter: number | undefined; urgency: number | undefined; customer: string | undefined; version: number};
 
-/** One endpoint. */
+/** An in-memory endpoint. */
 export class MemoryEndpoint {
 	readonly switches: ServingSwitches = {
 		isDown: false, isDark: false, isFull: false, status: 200, callMs: 10, eventMs: 10, events: 5, breakAfter: undefined, unframed: 0, answersToLose: 0, ordersToDelay: 0,
 		lateMs: 3000, loadMs: 900, reportLagMs: 0,
 	};
 
-	/** Requests that have begun to run. */
+	/** Requests that began to run, in order. */
 	readonly runs: ServingRecord[] = [];
 	readonly orders: WeightOrder[] = [];
 	readonly id: string;
-	/** Version of the model `m`, which makes all runs. */
+	/** Version of the model `m`, which executes all runs. */
 	version = 1;
 	orderCount = 0;
 	isBusy = false;
-	/** Told in reports; undefined if it does not tell. */
+	/** Start time in reports; undefined if reports leave it out. */
 	bornMs: number | undefined;
-	/** Versions of other models that it was told to load. */
-	readonly #others = new Map<string, number>();
-	/** Reports as of the last changes, the newest last. */
+	/** Loaded versions of models other than `m`. */
+	readonly #otherVersions = new Map<string, number>();
+	/** Reports as of each state change, oldest first. */
 	readonly #reports: Array<{madeAt: number; report: ServingReport}> = [];
 
 	constructor(id: string) {
 		this.id = id;
 	}
 
-	/** What it tells of itself; as old as its lag. */
+	/** Returns the report of the state as of `reportLagMs` ago. */
 	report(): ServingReport {
-		const seenAt = performance.now() - this.switches.reportLagMs;
+		const visibleUntil = performance.now() - this.switches.reportLagMs;
 		const current = this.#describe();
-		return this.switches.reportLagMs === 0 ? current : this.#reports.findLast(({madeAt}) => madeAt <= seenAt)?.report ?? {...current, isBusy: false, orderCount: 0};
+		return this.switches.reportLagMs === 0 ? current : this.#reports.findLast(({madeAt}) => madeAt <= visibleUntil)?.report ?? {...current, isBusy: false, orderCount: 0};
 	}
 
-	/** Carries out an order if its condition holds. */
+	/** Executes an order if its condition holds. */
 	take(order: WeightOrder): OrderOutcome {
 		this.orders.push(order);
 		if (this.isBusy || order.expectedOrders !== this.orderCount) {
@@ -85,44 +87,44 @@
 
 		this.orderCount += 1;
 		this.isBusy = true;
-		this.#noteChange();
+		this.#recordReport();
 		setTimeout(() => {
 			this.isBusy = false;
-			this.#hold(order);
-			this.#noteChange();
+			this.#setVersion(order);
+			this.#recordReport();
 		}, this.switches.loadMs);
 		return 'accepted';
 	}
 
-	#noteChange(): void {
+	#recordReport(): void {
 		this.#reports.push({madeAt: performance.now(), report: this.#describe()});
 	}
 
 	#describe(): ServingReport {
-		const models = ['m', ...this.#others.keys()].map(model => ({model, version: this.#findVersion(model)}));
+		const models = ['m', ...this.#otherVersions.keys()].map(model => ({model, version: this.#findVersion(model)}));
 		return {
 			models, isBusy: this.isBusy, orderCount: this.orderCount, ...(this.bornMs === undefined ? {} : {bornMs: this.bornMs}),
 		};
 	}
 
 	#findVersion(model: string): number {
-		return model === 'm' ? this.version : this.#others.get(model) ?? 1;
+		return model === 'm' ? this.version : this.#otherVersions.get(model) ?? 1;
 	}
 
-	#hold({model, version}: WeightOrder): void {
+	#setVersion({model, version}: WeightOrder): void {
 		if (model === 'm') {
 			this.version = version;
 		} else {
-			this.#others.set(model, version);
+			this.#otherVersions.set(model, version);
 		}
 	}
 }
 
-/** Calls to endpoints in memory, found by their address. */
+/** Client of in-memory endpoints, which it finds by address. */
 export class MemoryServing implements ServingClient {
 	readonly endpoints = new Map<string, MemoryEndpoint>();
 
-	/** Adds an endpoint at an address. */
+	/** Adds an endpoint and returns it. */
 	add(address: string, id: string): MemoryEndpoint {
 		const endpoint = new MemoryEndpoint(id);
 		this.endpoints.set(address, endpoint);
@@ -130,13 +132,13 @@
 	}
 
 	async call(target: EndpointTarget, request: ServingRequest, signal: AbortSignal): Promise<ServingAnswer> {
-		const endpoint = this.#reach(target);
-		const refusal = refuse(endpoint, target);
+		const endpoint = this.#connect(target);
+		const refusal = createRefusal(endpoint, target);
 		if (refusal) {
 			return {...refusal, body: new Uint8Array()};
 		}
 
-		note(endpoint, request);
+		recordRun(endpoint, request);
 		await waitOrAbort(endpoint.switches.callMs, signal);
 		if (endpoint.switches.answersToLose > 0) {
 			endpoint.switches.answersToLose -= 1;
@@ -152,14 +154,14 @@
 	}
 
 	async run(target: EndpointTarget, request: ServingRequest, signal: AbortSignal): Promise<ServingRun> {
-		const endpoint = this.#reach(target);
-		const refusal = refuse(endpoint, target);
+		const endpoint = this.#connect(target);
+		const refusal = createRefusal(endpoint, target);
 		if (refusal) {
 			return {...refusal, events: streamNothing()};
 		}
 
 		await waitWhileDark(endpoint, signal);
-		note(endpoint, request);
+		recordRun(endpoint, request);
 		const {status} = endpoint.switches;
 		const head = {...createHead(endpoint, status), weightVersion: endpoint.version};
 		const lastEvent = endpoint.switches.unframed > 0 ? Math.floor(endpoint.switches.events / 2) : endpoint.switches.events;
@@ -168,11 +170,11 @@
 	}
 
 	async report(target: EndpointTarget): Promise<ServingReport> {
-		return this.#reach(target).report();
+		return this.#connect(target).report();
 	}
 
 	async order(target: EndpointTarget, order: WeightOrder): Promise<OrderOutcome> {
-		const endpoint = this.#reach(target);
+		const endpoint = this.#connect(target);
 		if (endpoint.id !== target.id) {
 			return 'misdirected';
 		}
@@ -188,10 +190,10 @@
 		return endpoint.take(order);
 	}
 
-	#reach({address}: EndpointTarget): MemoryEndpoint {
+	#connect({address}: EndpointTarget): MemoryEndpoint {
 		const endpoint = this.endpoints.get(address);
 		if (!endpoint || endpoint.switches.isDown) {
-			throw new PlatformError('unavailable', `${address} can not be connected to`);
+			throw new PlatformError('unavailable', `cannot connect to ${address}`);
 		}
 
 		return endpoint;
@@ -204,7 +206,7 @@
 	};
 }
 
-function refuse(endpoint: MemoryEndpoint, {id}: EndpointTarget): ServingHead | undefined {
+function createRefusal(endpoint: MemoryEndpoint, {id}: EndpointTarget): ServingHead | undefined {
 	if (endpoint.id !== id) {
 		return {...createHead(endpoint, 421), isNotRun: true, weightVersion: undefined};
 	}
@@ -212,7 +214,7 @@
 	return endpoint.switches.isFull || endpoint.isBusy ? {...createHead(endpoint, 503), isNotRun: true} : undefined;
 }
 
-function note(endpoint: MemoryEndpoint, {attemptId, resumeAfter, urgency, customer}: ServingRequest): void {
+function recordRun(endpoint: MemoryEndpoint, {attemptId, resumeAfter, urgency, customer}: ServingRequest): void {
 	endpoint.runs.push({
 		attemptId, resumeAfter, urgency, customer, version: endpoint.version,
 	});
@@ -221,14 +223,14 @@
 async function * generate(endpoint: MemoryEndpoint, {attemptId, resumeAfter = 0}: ServingRequest, signal: AbortSignal, lastEvent: number): AsyncIterable<RunEvent> {
 	const {switches} = endpoint;
 	for (let id = resumeAfter + 1; id <= lastEvent; id += 1) {
-		// Events come one after the other.
+		// The events of a run are sent in sequence.
 		// eslint-disable-next-line no-await-in-loop
 		await waitOrAbort(switches.eventMs, signal);
 		// eslint-disable-next-line no-await-in-loop
 		await waitWhileDark(endpoint, signal);
 		if (switches.isDown || (switches.breakAfter !== undefined && id > switches.breakAfter)) {
 			switches.breakAfter = undefined;
-			throw new PlatformError('unknown', 'the run broke off');
+			throw new PlatformError('unknown', 'the run was interrupted');
 		}
 
 		yield {id, data: `${attemptId}#${id}`, version: endpoint.version};
@@ -243,13 +245,13 @@
 	// A refused run has no events.
 }
 
-/** Time between looks whether an endpoint is dark still, in milliseconds. */
-const darkLookMs = 50;
+/** Interval at which a dark endpoint is polled for its recovery, in milliseconds. */
+const darkPollMs = 50;
 
 async function waitWhileDark({switches}: MemoryEndpoint, signal: AbortSignal): Promise<void> {
 	while (switches.isDark) {
 		// eslint-disable-next-line no-await-in-loop
-		await waitOrAbort(darkLookMs, signal);
+		await waitOrAbort(darkPollMs, signal);
 	}
 }
 
@@ -265,6 +267,6 @@
 		signal.addEventListener('abort', finish);
 	});
 	if (signal.aborted) {
-		throw new PlatformError('unknown', 'the call was given up');
+		throw new PlatformError('unknown', 'the call was aborted');
 	}
 }
--- a/packages/standins/src/memory-weight-store.ts
+++ b/packages/standins/src/memory-weight-store.ts
@@ -1,29 +1,30 @@
 /**
- * A weight store with one rate for all of its readers: many who load at once wait for each other.
+ * A weight store whose readers share one transfer rate: simultaneous transfers are queued.
  */
 
 import {PlatformError, type WeightStore} from '@wasabiusher/backends';
 import {wait} from './wait.js';
 
 export type WeightStoreSettings = {
-	/** Size of one version, in bytes; no bytes are moved, only their time passes. */
+	/** Size of one version, in bytes. No data is transferred; only the transfer time is simulated. */
 	versionBytes: number;
-	/** What all readers get together; undefined for no limit. */
+	/** Transfer rate of all readers together; undefined for no limit. */
 	bytesPerSecond?: number;
 };
 
-/** A published version of a model. */
+/** A published version of a model. `publishedAt` is in milliseconds since the epoch. */
 export type PublishedVersion = {model: string; version: number; publishedAt: number};
 
-/** Where an engine gets its weights from. */
+/** Source that an engine fetches its weights from. */
 export type WeightSource = {
-	/** Resolves when the version has been transferred; rejects with `PlatformError` when there is none. */
+	/** Resolves when the version has been transferred; rejects with `PlatformError` `refused` when it is not published. */
 	fetch(model: string, version: number): Promise<void>;
 };
 
+/** Weight store in memory, with simulated transfer times. */
 export class MemoryWeightStore implements WeightStore, WeightSource {
 	readonly settings: WeightStoreSettings;
-	/** Transfers begun since the start. */
+	/** Number of transfers begun. */
 	transfers = 0;
 	readonly #published = new Map<string, PublishedVersion>();
 	#busyUntil = 0;
--- a/packages/standins/src/platform-server.ts
+++ b/packages/standins/src/platform-server.ts
@@ -1,7 +1,7 @@
 /**
- * Stand-in of the platform: table service, object store, membership list and weight store behind one HTTP server.
+ * Stand-in for the platform: table service, object store, membership list and weight store behind one HTTP server.
  *
- * `POST /v1/switches` sets the storage's failures by hand.
+ * `POST /v1/switches` sets the storage's fault-injection switches.
  */
 import {z} from 'zod';
 import {
@@ -30,13 +30,13 @@
 	readsPerSecond: z.number().positive(),
 }).partial();
 
-/** How each error is told; `unknown` is told by a cut connection. */
-const statuses: Partial<Record<PlatformErrorCode, number>> = {
+/** HTTP status of each error code. A code without a status, such as `unknown`, closes the connection without an answer. */
+const errorStatuses: Partial<Record<PlatformErrorCode, number>> = {
 	conflict: 409, refused: 422, limited: 429, unavailable: 503,
 };
 
 const answerPlatformError: ErrorHandler = (error, {response}) => {
-	const status = error instanceof PlatformError ? statuses[error.code] : 400;
+	const status = error instanceof PlatformError ? errorStatuses[error.code] : 400;
 	if (status === undefined) {
 		response.destroy();
 	} else {
@@ -64,14 +64,14 @@
 		this.objects = new MemoryObjectStore(objects);
 		this.members = new MemoryMembershipList(members);
 		this.weights = new MemoryWeightStore(weights);
-		this.#addTables();
-		this.#addObjects();
-		this.#addMembership();
-		this.#addWeights();
-		this.#addOperations();
+		this.#addTableRoutes();
+		this.#addObjectRoutes();
+		this.#addMembershipRoutes();
+		this.#addWeightRoutes();
+		this.#addOperationRoutes();
 	}
 
-	/** Resolves to the origin to reach it by. */
+	/** Resolves to the origin to connect to. */
 	async start(address = '127.0.0.1:0'): Promise<string> {
 		return `http://${await this.#server.listen(address)}`;
 	}
@@ -85,7 +85,7 @@
 		this.weights.publish(model, version);
 	}
 
-	#addTables(): void {
+	#addTableRoutes(): void {
 		this.#server.on('get', '/v1/tables/:table/rows/:key', async ({response, parameters}) => {
 			const row = await this.tables.read(parameters.table!, parameters.key!);
 			sendJson(response, row ? 200 : 404, row ?? {});
@@ -100,7 +100,7 @@
 		});
 	}
 
-	#addObjects(): void {
+	#addObjectRoutes(): void {
 		this.#server.on('get', '/v1/objects/:key', async ({response, parameters}) => {
 			const content = await this.objects.get(parameters.key!);
 			response.statusCode = content ? 200 : 404;
@@ -112,7 +112,7 @@
 		});
 	}
 
-	#addMembership(): void {
+	#addMembershipRoutes(): void {
 		this.#server.on('get', '/v1/members', async ({response}) => {
 			sendJson(response, 200, await this.members.list());
 		});
@@ -122,7 +122,7 @@
 		});
 	}
 
-	#addWeights(): void {
+	#addWeightRoutes(): void {
 		this.#server.on('get', '/v1/versions', async ({response}) => {
 			sendJson(response, 200, await this.weights.listVersions());
 		});
@@ -137,7 +137,7 @@
 		});
 	}
 
-	#addOperations(): void {
+	#addOperationRoutes(): void {
 		this.#server.on('get', '/healthz', ({response}) => {
 			response.end('ok\n');
 		});
--- a/packages/standins/src/prefix-cache.ts
+++ b/packages/standins/src/prefix-cache.ts
@@ -1,36 +1,37 @@
 /**
- * An engine's cache of prompt prefixes: bounded memory, and events that come late and with gaps.
+ * An engine's cache of prompt prefixes, with bounded memory and events that can be delayed or lost.
  */
 import type {CacheEvent} from '@wasabiusher/backends';
 import {hashText, type Random} from '@wasabiusher/shared';
 
-/** Characters of one cached block; engines cache blocks of 16 or so tokens of about four characters. */
+/** Characters per cached block. Engines cache blocks of about 16 tokens of about four characters each. */
 export const blockCharacters = 64;
 
-/** Events kept for those who ask; older ones are gaps to them. */
-const keptEvents = 1024;
+/** Maximum number of events retained for readers. Older events are missing from the list. */
+const maxRetainedEvents = 1024;
 
 export type PrefixCacheSettings = {
-	/** Most blocks held; the least recently used goes first. */
+	/** Maximum number of cached blocks. The least recently used block is evicted first. */
 	capacityBlocks: number;
-	/** Time before an event shows, in milliseconds. */
+	/** Delay before an event is listed, in milliseconds. */
 	eventLagMs: number;
-	/** Fraction of events that are never told. */
+	/** Fraction of events that are never listed. */
 	eventLoss: number;
 };
 
 type TimedEvent = CacheEvent & {at: number};
 
-/** Names each prefix of a prompt that ends at a block's end, shortest first. */
+/** Returns the hashes of the prefixes of a prompt that end at a block boundary, shortest first. */
 export function listPrefixes(prompt: string): string[] {
 	const count = Math.floor(prompt.length / blockCharacters);
 	return Array.from({length: count}, (_, index) => hashText(prompt.slice(0, (index + 1) * blockCharacters)));
 }
 
+/** Cache of prompt prefixes with least-recently-used eviction. */
 export class PrefixCache {
 	readonly #settings: PrefixCacheSettings;
 	readonly #random: Random;
-	/** Prefixes, least recently used first. */
+	/** Hashes of prefixes, least recently used first. */
 	readonly #blocks = new Set<string>();
 	#events: TimedEvent[] = [];
 	#sequence = 0;
@@ -45,7 +46,7 @@
 		return this.#blocks.size / this.#settings.capacityBlocks;
 	}
 
-	/** Stores a prompt's blocks; returns how many of them had to be computed. */
+	/** Stores a prompt's blocks. Returns how many of them were not cached and had to be computed. */
 	store(prompt: string): number {
 		const prefixes = listPrefixes(prompt);
 		const firstMissing = prefixes.findIndex(prefix => !this.#blocks.has(prefix));
@@ -57,7 +58,7 @@
 		return firstMissing === -1 ? 0 : prefixes.length - firstMissing;
 	}
 
-	/** Events after a sequence number, as far as they show by now. */
+	/** Returns the events after a sequence number that are visible after the lag. */
 	listEvents(after: number): CacheEvent[] {
 		const visibleBefore = performance.now() - this.#settings.eventLagMs;
 		return this.#events
@@ -67,7 +68,7 @@
 
 	#touch(prefix: string): void {
 		if (!this.#blocks.delete(prefix)) {
-			this.#tell('stored', prefix);
+			this.#recordEvent('stored', prefix);
 		}
 
 		this.#blocks.add(prefix);
@@ -80,11 +81,11 @@
 			}
 
 			this.#blocks.delete(prefix);
-			this.#tell('evicted', prefix);
+			this.#recordEvent('evicted', prefix);
 		}
 	}
 
-	#tell(kind: CacheEvent['kind'], prefix: string): void {
+	#recordEvent(kind: CacheEvent['kind'], prefix: string): void {
 		this.#sequence += 1;
 		if (this.#random.next() < this.#settings.eventLoss) {
 			return;
@@ -93,6 +94,6 @@
 		this.#events.push({
 			sequence: this.#sequence, kind, prefix, at: performance.now(),
 		});
-		this.#events = this.#events.slice(-keptEvents);
+		this.#events = this.#events.slice(-maxRetainedEvents);
 	}
 }
--- a/packages/standins/src/rate-limiter.ts
+++ b/packages/standins/src/rate-limiter.ts
@@ -1,20 +1,20 @@
 /**
- * Token bucket by the runtime's clock; it holds at most one second's worth.
+ * Token bucket on the runtime's monotonic clock. It holds at most the tokens of one second.
  */
 export class RateLimiter {
 	#tokens: number | undefined;
-	#filledAt = 0;
+	#refilledAt = 0;
 
 	/**
-	 * Takes one token; false when there is none.
+	 * Takes one token. Returns false when none is available.
 	 *
-	 * @param perSecond - tokens that come in a second
+	 * @param perSecond - tokens added per second
 	 */
 	tryTake(perSecond: number): boolean {
 		const now = performance.now();
-		const earned = (now - this.#filledAt) / 1000 * perSecond;
-		const tokens = Math.min(perSecond, (this.#tokens ?? perSecond) + earned);
-		this.#filledAt = now;
+		const refill = (now - this.#refilledAt) / 1000 * perSecond;
+		const tokens = Math.min(perSecond, (this.#tokens ?? perSecond) + refill);
+		this.#refilledAt = now;
 		this.#tokens = tokens < 1 ? tokens : tokens - 1;
 		return tokens >= 1;
 	}
--- a/packages/standins/src/relay.ts
+++ b/packages/standins/src/relay.ts
@@ -1,21 +1,22 @@
 /**
- * A TCP relay in front of a server, whose open connections can go silent for good while new ones work.
+ * A TCP relay in front of a server. It can stop relaying on its open connections for good while new connections work.
  */
 import {connect, createServer, type Socket} from 'node:net';
 import {parseAddress} from '@wasabiusher/daemon';
 
-type Pair = {near: Socket; far: Socket};
+type ConnectionPair = {downstream: Socket; upstream: Socket};
 
+/** TCP relay that can silence its open connections. */
 export class Relay {
 	readonly #target: {host: string; port: number};
-	readonly #pairs = new Set<Pair>();
+	readonly #connections = new Set<ConnectionPair>();
 	readonly #server;
 
 	/** @param target - `ip:port` to which connections are relayed */
 	constructor(target: string) {
 		this.#target = parseAddress(target);
-		this.#server = createServer(near => {
-			this.#open(near);
+		this.#server = createServer(downstream => {
+			this.#open(downstream);
 		});
 	}
 
@@ -32,17 +33,17 @@
 		return `127.0.0.1:${bound.port}`;
 	}
 
-	/** Relays nothing more on the connections that are open now, and closes none of them. Returns how many they are. */
+	/** Stops relaying on all open connections without closing them. Returns the number of connections. */
 	silence(): number {
-		for (const {near, far} of this.#pairs) {
-			near.unpipe(far);
-			far.unpipe(near);
-			// Keeps reading, so that neither end sees a full window.
-			near.resume();
-			far.resume();
+		for (const {downstream, upstream} of this.#connections) {
+			downstream.unpipe(upstream);
+			upstream.unpipe(downstream);
+			// Continues to read, so that neither end observes a full TCP window.
+			downstream.resume();
+			upstream.resume();
 		}
 
-		return this.#pairs.size;
+		return this.#connections.size;
 	}
 
 	async stop(): Promise<void> {
@@ -51,29 +52,29 @@
 				resolve();
 			});
 		});
-		for (const pair of this.#pairs) {
-			this.#cut(pair);
+		for (const pair of this.#connections) {
+			this.#close(pair);
 		}
 
 		await closed;
 	}
 
-	#open(near: Socket): void {
-		const pair = {near, far: connect(this.#target.port, this.#target.host)};
-		this.#pairs.add(pair);
-		for (const socket of [pair.near, pair.far]) {
+	#open(downstream: Socket): void {
+		const pair = {downstream, upstream: connect(this.#target.port, this.#target.host)};
+		this.#connections.add(pair);
+		for (const socket of [pair.downstream, pair.upstream]) {
 			socket.on('error', () => undefined);
 			socket.on('close', () => {
-				this.#cut(pair);
+				this.#close(pair);
 			});
 		}
 
-		pair.near.pipe(pair.far).pipe(pair.near);
+		pair.downstream.pipe(pair.upstream).pipe(pair.downstream);
 	}
 
-	#cut(pair: Pair): void {
-		this.#pairs.delete(pair);
-		pair.near.destroy();
-		pair.far.destroy();
+	#close(pair: ConnectionPair): void {
+		this.#connections.delete(pair);
+		pair.downstream.destroy();
+		pair.upstream.destroy();
 	}
 }
--- a/packages/standins/src/scorer.ts
+++ b/packages/standins/src/scorer.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-in of a scoring service: scores a text between 0 and 1 by its hash, and counts how often each sample came.
+ * Stand-in for a scoring service: derives a score between 0 and 1 from the hash of a text, and counts the requests for each sample.
  */
 import {z} from 'zod';
 import {HttpServer, readJson, sendJson} from '@wasabiusher/daemon';
@@ -8,18 +8,19 @@
 
 const scoringSchema = z.looseObject({id: z.string(), text: z.string()});
 
-/** One more than the greatest hash. */
+/** Number of hash values: hashes are from 0 to one less than this. */
 const hashRange = 2 ** 32;
 
 export type ScorerSettings = {
-	/** Time that a score takes, in milliseconds. */
+	/** Processing time of a score, in milliseconds. */
 	scoreMs: number;
 };
 
+/** HTTP server of the scorer. */
 export class ScorerServer {
-	/** How often each sample was scored. */
+	/** Number of scoring requests for each sample, by sample id. */
 	readonly scored = new Map<string, number>();
-	/** Failures that can be set at any time. */
+	/** Fault-injection switches, which can be set at any time. A failing scorer answers with status 500, a silent one does not answer. */
 	readonly switches = {isFailing: false, isSilent: false};
 	readonly #settings: ScorerSettings;
 	readonly #server = new HttpServer();
@@ -47,6 +48,7 @@
 		});
 	}
 
+	/** Resolves to the origin to connect to. */
 	async start(address = '127.0.0.1:0'): Promise<string> {
 		return `http://${await this.#server.listen(address)}`;
 	}
--- a/packages/standins/src/settings.ts
+++ b/packages/standins/src/settings.ts
@@ -1,10 +1,10 @@
 /**
- * Settings of the stand-ins' program: one process is one stand-in.
+ * Settings of the `wasabiusher-standins` program, which runs one stand-in per process.
  */
 import {z} from 'zod';
 import {engineSettingsSchema} from './engine-settings.js';
 
-/** `trail=3,hazard=1` as versions by model. */
+/** Parses `trail=3,hazard=1` into versions by model. */
 const modelsSchema = z.string().transform((text, context) => {
 	const models: Record<string, number> = {};
 	for (const pair of text.split(',').filter(Boolean)) {
--- a/packages/standins/src/standin.ts
+++ b/packages/standins/src/standin.ts
@@ -1,5 +1,5 @@
 /**
- * Builds the stand-in that the settings name.
+ * Creates the stand-in that the settings select.
  */
 import {EngineServer} from './engine.js';
 import {HttpWeightSource} from './http-weight-source.js';
@@ -8,9 +8,9 @@
 import {ScorerServer} from './scorer.js';
 import type {StandinSettings} from './settings.js';
 
-/** Any stand-in. */
+/** Common interface of all stand-ins. */
 export type Standin = {
-	/** Resolves to the origin to reach it by. */
+	/** Listens on `ip:port` and resolves to the origin to connect to. */
 	start(address: string): Promise<string>;
 	stop(): Promise<void>;
 };
@@ -30,13 +30,14 @@
 	return platform;
 }
 
-const constructors: Readonly<Record<StandinSettings['role'], (settings: StandinSettings) => Standin>> = {
+const factories: Readonly<Record<StandinSettings['role'], (settings: StandinSettings) => Standin>> = {
 	platform: createPlatform,
 	engine: settings => new EngineServer(settings, settings.platform === undefined ? undefined : new HttpWeightSource(settings.platform)),
 	ledger: ({workMs}) => new LedgerServer({postingMs: workMs}),
 	scorer: ({workMs}) => new ScorerServer({scoreMs: workMs}),
 };
 
+/** Creates the stand-in of the role in the settings. */
 export function createStandin(settings: StandinSettings): Standin {
-	return constructors[settings.role](settings);
+	return factories[settings.role](settings);
 }
--- a/packages/standins/src/storage-gate.ts
+++ b/packages/standins/src/storage-gate.ts
@@ -1,36 +1,36 @@
 /**
- * The documented failures of the platform's storage, as switches that any call passes through.
+ * Fault injection for calls to the platform's storage: the documented failures, set by switches.
  */
 
 import {PlatformError} from '@wasabiusher/backends';
 import {RateLimiter} from './rate-limiter.js';
 import {wait} from './wait.js';
 
-/** Longest wait of the storage's clients for an answer, in milliseconds; a slower call is `unknown` to them. */
+/** Time-out of the storage's clients, in milliseconds. A slower call fails with `unknown`. */
 const defaultClientTimeoutMs = 3000;
 
-/** Set at any time; they hold for calls that begin afterwards. */
+/** Fault-injection switches. They can be set at any time and apply to calls that begin afterwards. */
 export type StorageSwitches = {
-	/** Refuses each call; nothing is done. */
+	/** Refuses each call; calls have no effect. */
 	isDown: boolean;
-	/** Time before a call takes effect, in milliseconds. */
+	/** Delay before a call takes effect, in milliseconds. */
 	delayMs: number;
-	/** A call slower than this is given up by its client, in milliseconds; its effect comes all the same. */
+	/** Time after which a client abandons its call, in milliseconds. The call takes effect nevertheless. */
 	clientTimeoutMs: number;
-	/** How many of the next writes take effect and lose their answer. */
+	/** Number of the next writes that take effect and whose answer is lost. */
 	answersToLose: number;
-	/** Transactions and objects written in a second; undefined for no limit. */
+	/** Maximum transactions and object writes per second; undefined for no limit. */
 	writesPerSecond?: number;
-	/** Rows, scans and objects read in a second; undefined for no limit. */
+	/** Maximum row reads, scans and object reads per second; undefined for no limit. */
 	readsPerSecond?: number;
 };
 
 export type StorageOperation = 'read' | 'write';
 
-/** What has passed, refused calls included. */
+/** Number of calls. `reads` and `writes` include refused calls. */
 export type StorageCounts = {reads: number; writes: number; refused: number};
 
-/** Applies the switches to calls. */
+/** Applies the fault-injection switches and rate limits to calls. */
 export class StorageGate {
 	readonly switches: StorageSwitches;
 	readonly counts: StorageCounts = {reads: 0, writes: 0, refused: 0};
@@ -43,21 +43,21 @@
 	}
 
 	/**
-	 * Passes a call.
+	 * Runs a call under the current switches.
 	 *
-	 * @param effect - what the call does, at once and whole
-	 * @throws {PlatformError} as the storage's client would
+	 * @param effect - effect of the call, synchronous and atomic
+	 * @throws {PlatformError} `unavailable`, `limited` or `unknown`, as the storage's client does
 	 */
-	async pass<Result>(operation: StorageOperation, effect: () => Result): Promise<Result> {
+	async run<Result>(operation: StorageOperation, effect: () => Result): Promise<Result> {
 		this.#admit(operation);
 		const {delayMs, clientTimeoutMs} = this.switches;
 		if (delayMs > clientTimeoutMs) {
-			return this.#outlast(operation, effect);
+			return this.#applyAfterTimeout(operation, effect);
 		}
 
 		if (delayMs > 0) {
 			await wait(delayMs);
-			this.#check('unknown');
+			this.#throwIfDown('unknown');
 		}
 
 		return this.#perform(operation, effect);
@@ -65,7 +65,7 @@
 
 	#admit(operation: StorageOperation): void {
 		this.counts[operation === 'read' ? 'reads' : 'writes'] += 1;
-		this.#check('unavailable');
+		this.#throwIfDown('unavailable');
 		const {readsPerSecond, writesPerSecond} = this.switches;
 		const limit = operation === 'read' ? readsPerSecond : writesPerSecond;
 		if (limit !== undefined && !this.#limiters[operation].tryTake(limit)) {
@@ -74,7 +74,7 @@
 		}
 	}
 
-	#check(code: 'unavailable' | 'unknown'): void {
+	#throwIfDown(code: 'unavailable' | 'unknown'): void {
 		if (this.switches.isDown) {
 			this.counts.refused += 1;
 			throw new PlatformError(code, 'the storage is down');
@@ -91,8 +91,8 @@
 		return result;
 	}
 
-	/** The client gives up first; the effect comes later. */
-	async #outlast(operation: StorageOperation, effect: () => unknown): Promise<never> {
+	/** Fails with `unknown` when the client times out, and applies the effect after the delay. */
+	async #applyAfterTimeout(operation: StorageOperation, effect: () => unknown): Promise<never> {
 		const {delayMs, clientTimeoutMs} = this.switches;
 		setTimeout(() => {
 			if (this.switches.isDown) {
@@ -102,7 +102,7 @@
 			try {
 				this.#perform(operation, effect);
 			} catch {
-				// Nobody waits for this answer any more.
+				// The client has timed out and no longer waits for the answer.
 			}
 		}, delayMs);
 		await wait(clientTimeoutMs);
