--- a/packages/embedded/__tests__/whole-path.spec.ts
+++ b/packages/embedded/__tests__/whole-path.spec.ts
@@ -34,14 +34,14 @@
 	return {status: response.statusCode, text: await response.body.text()};
 }
 
-describe('the whole path', () => {
+describe('the path from caller to endpoint', () => {
 	let deployment: Deployment;
 	let callers: string;
 	let operators: string;
 
 	beforeEach(async () => {
 		deployment = new Deployment({
-			dataCentres: ['innsbruck-a'], entries: 1, engines: 2, plains: 1, modelService: 'models', plainService: 'ledger', slots: 8, tokenMs: 2, models: {trail: 3},
+			dataCentres: ['innsbruck-a'], entries: 1, engines: 2, plainEndpoints: 1, modelService: 'models', plainService: 'ledger', slots: 8, tokenMs: 2, models: {trail: 3},
 		}, createSilentLog);
 		await deployment.start();
 		const {addresses} = deployment.entries[0]!;
@@ -56,7 +56,7 @@
 		await deployment.stop();
 	});
 
-	it('answers a completion whole, with the versions that made it', async () => {
+	it('returns a complete completion, with the weight versions that generated it', async () => {
 		const {status, text} = await post(callers, '/v1/completions', {model: 'trail', prompt: 'Is the bridge out?', max_tokens: 5}, {'wasabiusher-profile': 'ranger'});
 		expect(status, text).to.equal(200);
 		const answer = JSON.parse(text) as {choices: Array<{text: string}>; versions: unknown};
@@ -64,7 +64,7 @@
 		expect(answer.versions).to.deep.equal([{version: 3, from: 0, to: 5}]);
 	});
 
-	it('streams a chat and ends with the terminal event', async () => {
+	it('streams a chat completion that ends with the terminal event', async () => {
 		const {text} = await post(callers, '/v1/chat/completions', {
 			model: 'trail', messages: [{role: 'user', content: 'hello'}], max_tokens: 4, stream: true,
 		}, {'wasabiusher-profile': 'ranger'});
@@ -73,7 +73,7 @@
 		expect(events).to.have.lengthOf(6);
 	});
 
-	it('forwards a posting once, with its status', async () => {
+	it('forwards a posting once and returns its status', async () => {
 		const {status, text} = await post(callers, '/ledger/postings', {key: 'tank-7'}, {'wasabiusher-profile': 'posting'});
 		expect(status).to.equal(201);
 		expect(JSON.parse(text)).to.deep.equal({key: 'tank-7', count: 1});
@@ -96,10 +96,10 @@
 	});
 });
 
-/** The agents' first reports arrive a moment after the links are up. */
+/** Polls until a call succeeds. The agents' first reports arrive shortly after the links are up. */
 async function waitUntilServed(callers: string): Promise<void> {
 	for (let tries = 0; tries < 100; tries += 1) {
-		// Each try waits for the one before.
+		// Polls in sequence.
 		// eslint-disable-next-line no-await-in-loop
 		const {status} = await post(callers, '/v1/completions', {model: 'trail', prompt: '', max_tokens: 1}, {'wasabiusher-profile': 'ranger'});
 		if (status === 200) {
@@ -107,7 +107,7 @@
 		}
 	}
 
-	throw new Error('the deployment does not serve');
+	throw new Error('the deployment answered none of 100 calls with status 200');
 }
 
 export {type Configuration} from '@wasabiusher/shared';
--- a/packages/embedded/src/deployment.ts
+++ b/packages/embedded/src/deployment.ts
@@ -1,24 +1,28 @@
 /**
- * A whole deployment in one process, over real sockets on loopback: stand-ins, agents and entries.
+ * Runs a whole deployment of stand-ins, agents and entries in one process. They communicate over loopback sockets.
  */
 import {Agent, agentSettingsSchema} from '@wasabiusher/agent';
 import {Entry, entrySettingsSchema} from '@wasabiusher/entry';
 import type {Log} from '@wasabiusher/shared';
 import {EngineServer, LedgerServer, PlatformServer} from '@wasabiusher/standins';
 
+/** Numbers, names and settings of the parts of a deployment. */
 export type DeploymentSize = {
 	dataCentres: string[];
+	/** Number of entries. */
 	entries: number;
+	/** Number of model engines. */
 	engines: number;
-	/** Plain endpoints. */
-	plains: number;
-	/** Names of the two services, as the configuration has them. */
+	/** Number of plain endpoints. */
+	plainEndpoints: number;
+	/** Names of the two services in the configuration. */
 	modelService: string;
 	plainService: string;
-	/** Requests that an engine batches. */
+	/** Maximum number of requests in the running batch of an engine. */
 	slots: number;
+	/** Time per token, in milliseconds. */
 	tokenMs: number;
-	/** Models and the versions that engines start with. */
+	/** Models with the versions that engines start with. */
 	models: Record<string, number>;
 };
 
@@ -33,14 +37,15 @@
 	readonly #createLog: (name: string) => Log;
 	#platformOrigin = '';
 
-	/** @param createLog - gives each process a log of its name */
+	/** @param createLog - creates the log of an agent or entry by its name */
 	constructor(size: DeploymentSize, createLog: (name: string) => Log) {
 		this.#size = size;
 		this.#createLog = createLog;
 	}
 
+	/** Starts the stand-ins with their agents, then the entries. */
 	async start(): Promise<void> {
-		const {engines, plains, entries, models, slots, tokenMs} = this.#size;
+		const {engines, plainEndpoints, entries, models, slots, tokenMs} = this.#size;
 		this.#platformOrigin = await this.platform.start();
 		for (const [model, version] of Object.entries(models)) {
 			this.platform.publish(model, version);
@@ -48,7 +53,7 @@
 
 		await Promise.all([
 			...createRange(engines).map(async index => this.#startEngine(index, {slots, tokenMs, models})),
-			...createRange(plains).map(async index => this.#startLedger(index)),
+			...createRange(plainEndpoints).map(async index => this.#startLedger(index)),
 		]);
 		await Promise.all(createRange(entries).map(async index => this.#startEntry(index)));
 	}
@@ -69,7 +74,7 @@
 			endpointKind: 'model',
 			endpoint: await engine.start(),
 			limit: settings.slots,
-			dataCentre: this.#placeOf(index),
+			dataCentre: this.#getDataCentre(index),
 		});
 	}
 
@@ -77,7 +82,7 @@
 		const ledger = new LedgerServer();
 		this.ledgers.push(ledger);
 		await this.#startAgent({
-			name: `agent-${this.#size.plainService}-${index}`, service: this.#size.plainService, endpointKind: 'plain', endpoint: await ledger.start(), dataCentre: this.#placeOf(index),
+			name: `agent-${this.#size.plainService}-${index}`, service: this.#size.plainService, endpointKind: 'plain', endpoint: await ledger.start(), dataCentre: this.#getDataCentre(index),
 		});
 	}
 
@@ -89,12 +94,12 @@
 
 	async #startEntry(index: number): Promise<void> {
 		const name = `entry-${index}`;
-		const entry = new Entry(entrySettingsSchema.parse({name, dataCentre: this.#placeOf(index), platform: this.#platformOrigin}), this.#createLog(name));
+		const entry = new Entry(entrySettingsSchema.parse({name, dataCentre: this.#getDataCentre(index), platform: this.#platformOrigin}), this.#createLog(name));
 		this.entries.push(entry);
 		await entry.start();
 	}
 
-	#placeOf(index: number): string {
+	#getDataCentre(index: number): string {
 		const {dataCentres} = this.#size;
 		return dataCentres[index % dataCentres.length]!;
 	}
--- a/packages/embedded/src/index.ts
+++ b/packages/embedded/src/index.ts
@@ -1,2 +1,2 @@
-/** The embedded deployment: all of the system in one process, for a first look and for tests. */
+/** The embedded deployment: the whole system in one process, for the demo and for tests. */
 export * from './deployment.js';
--- a/packages/embedded/src/main.ts
+++ b/packages/embedded/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm start`: all of the system in one process, for a first look.
+ * `npm start`: runs the whole system in one process as a demo.
  */
 import {readFile} from 'node:fs/promises';
 import process from 'node:process';
@@ -24,12 +24,12 @@
 	logLevel: z.enum(['error', 'warn', 'info', 'debug']).default('error').describe('least severe event logged'),
 });
 
-/** Longest wait for the configuration to be in force and the endpoints to be in view, in milliseconds. */
-const readyMs = 10_000;
+/** Time-out for the entries to apply the configuration and to discover the endpoints, in milliseconds. */
+const readyTimeoutMs = 10_000;
 
 const settings = loadSettings('wasabiusher-demo', '0.1.0', settingsSchema);
 
-function say(line: string): void {
+function printLine(line: string): void {
 	if (!settings.json) {
 		process.stdout.write(`${line}\n`);
 	}
@@ -40,7 +40,7 @@
 	return configurationSchema.parse(parse(text));
 }
 
-async function apply(deployment: Deployment, configuration: Configuration): Promise<void> {
+async function applyConfiguration(deployment: Deployment, configuration: Configuration): Promise<void> {
 	const {operators} = deployment.entries[0]!.addresses;
 	const {statusCode, body} = await request(`http://${operators}/v1/configuration`, {
 		method: 'POST', body: JSON.stringify({configuration, author: 'demo'}), headers: {'content-type': 'application/json'},
@@ -52,13 +52,13 @@
 }
 
 async function waitUntilReady(deployment: Deployment): Promise<void> {
-	const until = performance.now() + readyMs;
+	const timeoutAt = performance.now() + readyTimeoutMs;
 	for (const {addresses} of deployment.entries) {
-		// One entry after the other.
+		// Polls in sequence; the time-out covers all entries.
 		// eslint-disable-next-line no-await-in-loop
 		while (!(await isReady(addresses.callers))) {
-			if (performance.now() > until) {
-				throw new Error(`the entry at ${addresses.callers} is not ready after ${readyMs} ms`);
+			if (performance.now() > timeoutAt) {
+				throw new Error(`the entry at ${addresses.callers} is not ready after ${readyTimeoutMs} ms`);
 			}
 		}
 	}
@@ -75,30 +75,30 @@
 
 async function startSite(site: Site): Promise<{site: Site; deployment: Deployment; configuration: Configuration}> {
 	const {size} = site;
-	say(`${site.title}: ${size.dataCentres.join(', ')}; ${size.entries} entries, ${size.engines} engines, ${size.plains} plain endpoints`);
+	printLine(`${site.title}: ${size.dataCentres.join(', ')}; ${size.entries} entries, ${size.engines} engines, ${size.plainEndpoints} plain endpoints`);
 	const deployment = new Deployment(size, name => new Log(name, settings.logLevel));
 	await deployment.start();
 	const configuration = await loadExample(site);
-	await apply(deployment, configuration);
+	await applyConfiguration(deployment, configuration);
 	await waitUntilReady(deployment);
 	return {site, deployment, configuration};
 }
 
-function sayCommands({site, deployment}: {site: Site; deployment: Deployment}): void {
+function printCommands({site, deployment}: {site: Site; deployment: Deployment}): void {
 	const {callers, operators} = deployment.entries[0]!.addresses;
 	const {query, posting} = site;
-	say(`\n${site.title}, to try:`);
-	say(`  curl -N http://${callers}/v1/completions -H 'wasabiusher-profile: ${query.profile}' -d '{"model":"${query.model}","prompt":"${query.prompt}","max_tokens":20,"stream":true}'`);
-	say(`  curl http://${callers}/${posting.service}/postings -H 'wasabiusher-profile: ${posting.profile}' -H 'idempotency-key: k1' -d '{"key":"k1"}'`);
-	say(`  curl http://${operators}/v1/configuration`);
-	say(`  curl http://${callers}/metrics`);
+	printLine(`\n${site.title}, to try:`);
+	printLine(`  curl -N http://${callers}/v1/completions -H 'wasabiusher-profile: ${query.profile}' -d '{"model":"${query.model}","prompt":"${query.prompt}","max_tokens":20,"stream":true}'`);
+	printLine(`  curl http://${callers}/${posting.service}/postings -H 'wasabiusher-profile: ${posting.profile}' -H 'idempotency-key: k1' -d '{"key":"k1"}'`);
+	printLine(`  curl http://${operators}/v1/configuration`);
+	printLine(`  curl http://${callers}/metrics`);
 }
 
 const names = settings.site === 'both' ? siteNames : [settings.site];
 const running = await Promise.all(names.map(async name => startSite(findSite(name))));
-const summaries = await Promise.all(running.map(async scenario => runScenario({...scenario, report: say})));
+const summaries = await Promise.all(running.map(async scenario => runScenario({...scenario, report: printLine})));
 for (const summary of summaries) {
-	say(`\n${formatSummary(summary)}`);
+	printLine(`\n${formatSummary(summary)}`);
 }
 
 process.exitCode = summaries.every(summary => isClean(summary)) ? 0 : 1;
@@ -114,10 +114,10 @@
 	}
 } else {
 	for (const scenario of running) {
-		sayCommands(scenario);
+		printCommands(scenario);
 	}
 
-	say('\nServing until Ctrl-C.');
+	printLine('\nServing until Ctrl-C.');
 	process.once('SIGINT', () => {
 		void stop();
 	});
--- a/packages/embedded/src/scenario.ts
+++ b/packages/embedded/src/scenario.ts
@@ -1,5 +1,5 @@
 /**
- * What the demo does at one site: a step with a weight change in the middle, postings, and streamed queries.
+ * The scenario that the demo runs at one site: a training step with a weight update in the middle, postings, and streamed queries.
  */
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
@@ -9,40 +9,42 @@
 import type {Summary} from './summary.js';
 import {Trainer} from './trainer.js';
 
-/** Samples of each prompt, as trainers that compare answers within a group draw them. */
+/** Samples per prompt. Trainers that compare answers within a group request several samples of each prompt. */
 const groupSize = 16;
 
-/** Tokens of a sample; at the pace of the engines some seconds, so that weights change in mid-sample. */
+/** Tokens per sample. The engines take seconds to generate them, so that weights change during a sample. */
 const sampleTokens = 500;
 
+/** Tokens per streamed query. */
 const queryTokens = 40;
 
-/** Calls and postings while the step is drawn. */
+/** Number of postings, and of streamed queries, during the step. */
 const callCount = 20;
 
-/** Time between them, in milliseconds. */
-const callMs = 40;
+/** Interval between postings, in milliseconds. */
+const callIntervalMs = 40;
 
-/** Longest time for one step of the demo, in milliseconds. */
-const stepLimitMs = 60_000;
+/** Time-out of the step, in milliseconds. */
+const stepTimeoutMs = 60_000;
 
+/** A site with its running deployment. */
 export type Scenario = {
 	site: Site;
 	deployment: Deployment;
 	configuration: Configuration;
-	/** Told of what happens, for people. */
+	/** Called with a line of progress to print. */
 	report(line: string): void;
 };
 
 type Counts = {calls: number; answeredInTime: number; keys: string[]};
 
-/** Runs the scenario once. */
+/** Runs the scenario once and returns its figures. */
 export async function runScenario(scenario: Scenario): Promise<Summary> {
 	const origins = listOrigins(scenario.deployment);
 	const counts: Counts = {calls: 0, answeredInTime: 0, keys: []};
 	const startedAt = performance.now();
 	const [step] = await Promise.all([
-		drawStep(scenario, origins),
+		runStep(scenario, origins),
 		makeCalls(scenario, origins, counts),
 	]);
 	return {
@@ -56,11 +58,11 @@
 }
 
 function listOrigins({entries}: Deployment): [string, ...string[]] {
-	const [first, ...others] = entries.map(({addresses}) => `http://${addresses.callers}`);
-	return [first!, ...others];
+	const [first, ...rest] = entries.map(({addresses}) => `http://${addresses.callers}`);
+	return [first!, ...rest];
 }
 
-async function drawStep({site, deployment, configuration, report}: Scenario, origins: [string, ...string[]]) {
+async function runStep({site, deployment, configuration, report}: Scenario, origins: [string, ...string[]]) {
 	const {model, profile, trainer: name, prompts} = site.rollout;
 	const total = prompts.length * groupSize;
 	const bound = configuration.profiles[profile]!.freshness?.versions ?? Number.POSITIVE_INFINITY;
@@ -78,16 +80,16 @@
 			}
 		},
 	});
-	const received = await trainer.draw({
+	const received = await trainer.runStep({
 		id: `demo-${Date.now()}`, profile, trainer: name, model, groups: prompts.map(prompt => ({prompt})), groupSize, maxTokens: sampleTokens,
-	}, AbortSignal.timeout(stepLimitMs));
+	}, AbortSignal.timeout(stepTimeoutMs));
 	report(`${site.title}: step drawn, ${received.samples.size} of ${total} samples`);
 	const samples = [...received.samples.values()];
-	const stale = [...received.staleness].filter(([behind]) => behind > bound).reduce((sum, [, stalePart]) => sum + stalePart, 0);
+	const stale = [...received.staleness].filter(([staleness]) => staleness > bound).reduce((sum, [, sampleCount]) => sum + sampleCount, 0);
 	return {
 		samplesAsked: total,
 		samplesDelivered: samples.length,
-		samplesDoubled: received.doubled,
+		samplesDoubled: received.duplicates,
 		samplesLost: total - samples.length,
 		samplesStale: stale,
 		samplesOfSeveralVersions: samples.filter(sample => hasSeveralVersions(sample)).length,
@@ -101,18 +103,18 @@
 }
 
 async function makeCalls(scenario: Scenario, origins: string[], counts: Counts): Promise<void> {
-	const open: Array<Promise<void>> = [];
+	const pending: Array<Promise<void>> = [];
 	for (let index = 0; index < callCount; index += 1) {
 		const origin = origins[index % origins.length]!;
-		open.push(postReading(scenario, origin, index, counts), streamQuery(scenario, origin, counts));
-		// Calls are spread over time on purpose.
+		pending.push(postReading(scenario, origin, index, counts), streamQuery(scenario, origin, counts));
+		// The calls are spread over the time of the step.
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise<void>(resolve => {
-			setTimeout(resolve, callMs);
+			setTimeout(resolve, callIntervalMs);
 		});
 	}
 
-	await Promise.all(open);
+	await Promise.all(pending);
 	scenario.report(`${scenario.site.title}: ${counts.answeredInTime} of ${counts.calls} calls answered whole in time`);
 }
 
@@ -137,17 +139,17 @@
 	counts.calls += 1;
 	const {statusCode, body} = await request(new URL('/v1/completions', origin), {
 		method: 'POST',
-		// Names of the published completions protocol.
+		// `max_tokens` is a name of the public completions protocol.
 
 		body: JSON.stringify({
 			model, prompt, max_tokens: queryTokens, stream: true,
 		}),
 		headers: {'content-type': 'application/json', 'wasabiusher-profile': profile, 'wasabiusher-caller': caller},
 	});
-	let isWhole = false;
+	let isComplete = false;
 	const parser = createParser({
 		onEvent({data}) {
-			isWhole ||= data === '[DONE]';
+			isComplete ||= data === '[DONE]';
 		},
 	});
 	const decoder = new TextDecoder();
@@ -155,7 +157,7 @@
 		parser.feed(decoder.decode(chunk, {stream: true}));
 	}
 
-	counts.answeredInTime += statusCode === 200 && isWhole ? 1 : 0;
+	counts.answeredInTime += statusCode === 200 && isComplete ? 1 : 0;
 }
 
 function countPostings({ledgers}: Deployment, keys: readonly string[]) {
--- a/packages/embedded/src/sites.ts
+++ b/packages/embedded/src/sites.ts
@@ -1,27 +1,28 @@
 /**
- * The two deployments that the demo runs, in the sizes of those who use the system.
+ * The two deployments that the demo runs, with the sizes of users' deployments.
  */
 import type {DeploymentSize} from './deployment.js';
 
+/** A deployment with the calls that the demo makes to it. */
 export type Site = {
 	title: string;
 	/** File of the example configuration, in `examples/`. */
 	example: string;
 	size: DeploymentSize;
-	/** Plain service that takes postings, and the profile for them. */
+	/** Plain service that receives postings, with the profile and the caller. */
 	posting: {service: string; profile: string; caller: string};
-	/** Model that callers ask, and the profile for it. */
+	/** Model that callers query, with the profile, the caller and the prompt. */
 	query: {model: string; profile: string; caller: string; prompt: string};
-	/** What the trainer draws. */
+	/** Step that the trainer requests. */
 	rollout: {model: string; profile: string; trainer: string; prompts: string[]};
 };
 
-/** Both sites have three data centres, six engines and four plain endpoints. */
+/** Sizes and timings that both sites share. */
 const commonSize = {
-	entries: 3, engines: 6, plains: 4, slots: 16, tokenMs: 5,
+	entries: 3, engines: 6, plainEndpoints: 4, slots: 16, tokenMs: 5,
 };
 
-/** The sites by the name of their example. */
+/** Sites by the name of their example configuration. */
 export const sites = {
 	'petroleum-office': {
 		title: 'Petroleum reserve office',
@@ -57,7 +58,7 @@
 
 export type SiteName = keyof typeof sites;
 
-/** Looks a site up with its general type. */
+/** Returns a site as the general `Site` type, with copies of its lists. */
 export function findSite(name: SiteName): Site {
 	const site = sites[name];
 	return {...site, rollout: {...site.rollout, prompts: [...site.rollout.prompts]}, size: {...site.size, dataCentres: [...site.size.dataCentres]}};
--- a/packages/embedded/src/summary.ts
+++ b/packages/embedded/src/summary.ts
@@ -1,16 +1,17 @@
 /**
- * What a run of the demo came to, for people and for programs.
+ * The result of a run of the demo, and its formatting as text.
  */
 
+/** Figures of one site. The keys are printed as JSON. */
 export type Summary = {
 	site: string;
 	samplesAsked: number;
 	samplesDelivered: number;
 	samplesDoubled: number;
 	samplesLost: number;
-	/** Delivered staler than the profile's bound. */
+	/** Samples delivered with a staleness above the profile's bound. */
 	samplesStale: number;
-	/** Samples that more than one weight version made. */
+	/** Samples that more than one weight version generated. */
 	samplesOfSeveralVersions: number;
 	trainerIdleMs: number;
 	stepMs: number;
@@ -21,7 +22,7 @@
 	postingsLost: number;
 };
 
-/** Whether nothing was lost, doubled or stale. */
+/** Returns whether nothing was lost, delivered or posted twice, or too stale. */
 export function isClean(summary: Summary): boolean {
 	const {samplesDoubled, samplesLost, samplesStale, postingsDoubled, postingsLost} = summary;
 	return samplesDoubled + samplesLost + samplesStale + postingsDoubled + postingsLost === 0;
@@ -43,7 +44,7 @@
 	['postingsLost', 'postings lost'],
 ];
 
-/** Lays a summary out for people, a figure a line. */
+/** Formats a summary as text, one figure per line. */
 export function formatSummary(summary: Summary): string {
 	const width = Math.max(...labels.map(([, label]) => label.length));
 	const lines = labels.map(([key, label]) => `  ${label.padEnd(width)}  ${formatFigure(summary[key])}`);
--- a/packages/embedded/src/trainer.ts
+++ b/packages/embedded/src/trainer.ts
@@ -1,5 +1,5 @@
 /**
- * A trainer as the demo and the tests need one: draws a step, keeps what it received, and reconnects.
+ * A minimal trainer for the demo and for tests: submits a step, stores the samples that it receives, and reconnects.
  */
 import {createParser} from 'eventsource-parser';
 import {request} from 'undici';
@@ -8,13 +8,14 @@
 
 const deliverySchema = sampleSchema.extend({cursor: z.string()});
 
-/** Wait before a lost stream is opened again, in milliseconds. */
-const reconnectMs = 100;
+/** Delay before a failed stream is opened again, in milliseconds. */
+const reconnectDelayMs = 100;
 
-/** Work of the trainer on one sample, in milliseconds; what it does while it waits for none. */
-const workMs = 20;
+/** Simulated work of the trainer per sample, in milliseconds. The trainer is idle when it has worked through all received samples. */
+const sampleWorkMs = 20;
 
-export type StepOrder = {
+/** Body of the request that submits a step. */
+export type StepRequest = {
 	id: string;
 	profile: string;
 	trainer: string;
@@ -25,54 +26,54 @@
 };
 
 export type TrainerSettings = {
-	/** Origins of entries; a reconnect goes to the next one. */
+	/** Origins of entries. A reconnect uses the next one. */
 	origins: readonly [string, ...string[]];
-	/** The weight version that the trainer is at, asked for at each pull. */
+	/** Returns the current weight version of the trainer. */
 	version(): number;
-	/** Called with each sample received for the first time. */
+	/** Called with each sample when it is received for the first time. */
 	onSample?(sample: Sample): void;
 };
 
-/** What a trainer received of one step. */
-export type Received = {
+/** Samples and figures of one step as a trainer received it. */
+export type ReceivedStep = {
 	samples: Map<string, Sample>;
-	/** Samples handed over again although the trainer had them. */
-	doubled: number;
-	/** Samples whose oldest part was behind the stated version by this many, by count. */
+	/** Number of samples delivered again after the trainer had received them. */
+	duplicates: number;
+	/** Number of samples by staleness: the versions from the oldest part of a sample to the version stated in the pull. */
 	staleness: Map<number, number>;
-	/** Time without a sample to work on while the step was not whole, in milliseconds. */
+	/** Time without a sample to work on while the step was incomplete, in milliseconds. */
 	idleMs: number;
-	/** When the trainer will have worked through what it has, on the monotonic clock. */
+	/** Time at which the trainer will have worked through the received samples, in milliseconds of the monotonic clock. */
 	busyUntil: number;
-	/** Of the last sample received. */
+	/** Cursor of the last received sample. */
 	cursor: string;
 };
 
-/** Draws steps one at a time. */
+/** Submits steps and receives their samples. */
 export class Trainer {
 	readonly #settings: TrainerSettings;
-	#origin = 0;
+	#originIndex = 0;
 
 	constructor(settings: TrainerSettings) {
 		this.#settings = settings;
 	}
 
-	/** Draws a step until it is whole or the signal is aborted. */
-	async draw(order: StepOrder, signal?: AbortSignal): Promise<Received> {
-		const received: Received = {
-			samples: new Map(), doubled: 0, staleness: new Map(), idleMs: 0, cursor: '', busyUntil: performance.now(),
+	/** Submits a step and receives its samples until it is complete or the signal is aborted. */
+	async runStep(order: StepRequest, signal?: AbortSignal): Promise<ReceivedStep> {
+		const received: ReceivedStep = {
+			samples: new Map(), duplicates: 0, staleness: new Map(), idleMs: 0, cursor: '', busyUntil: performance.now(),
 		};
 		const total = order.groups.length * order.groupSize;
-		await this.#open(order);
+		await this.#submit(order);
 		while (received.samples.size < total && !signal?.aborted) {
 			try {
-				// Each pull goes on where the one before ended.
+				// Each pull continues at the cursor of the previous one.
 				// eslint-disable-next-line no-await-in-loop
 				await this.#pull(order.id, total, received, signal);
 			} catch {
-				this.#origin += 1;
+				this.#originIndex += 1;
 				// eslint-disable-next-line no-await-in-loop
-				await pause(reconnectMs);
+				await pause(reconnectDelayMs);
 			}
 		}
 
@@ -81,10 +82,10 @@
 
 	get #currentOrigin(): string {
 		const {origins} = this.#settings;
-		return origins[this.#origin % origins.length]!;
+		return origins[this.#originIndex % origins.length]!;
 	}
 
-	async #open(order: StepOrder): Promise<void> {
+	async #submit(order: StepRequest): Promise<void> {
 		const {statusCode, body} = await request(new URL('/v1/steps', this.#currentOrigin), {method: 'POST', body: JSON.stringify(order), headers: {'content-type': 'application/json'}});
 		const text = await body.text();
 		if (statusCode >= 300) {
@@ -92,7 +93,7 @@
 		}
 	}
 
-	async #pull(id: string, total: number, received: Received, signal?: AbortSignal): Promise<void> {
+	async #pull(id: string, total: number, received: ReceivedStep, signal?: AbortSignal): Promise<void> {
 		const origin = this.#currentOrigin;
 		const version = this.#settings.version();
 		const {statusCode, body} = await request(new URL(`/v1/steps/${id}/samples?after=${received.cursor}&version=${version}`, origin), {signal});
@@ -114,7 +115,7 @@
 		const decoder = new TextDecoder();
 		for await (const chunk of body as AsyncIterable<Uint8Array>) {
 			parser.feed(decoder.decode(chunk, {stream: true}));
-			// A newer version is stated by pulling anew.
+			// A new pull states the newer version.
 			if (received.samples.size === total || this.#settings.version() !== version) {
 				break;
 			}
@@ -126,22 +127,22 @@
 			const {body} = await request(new URL(`/v1/steps/${id}/acks`, origin), {method: 'POST', body: JSON.stringify({samples: [sample]}), headers: {'content-type': 'application/json'}});
 			await body.dump();
 		} catch {
-			// An acknowledgement that is lost costs nothing but memory: the cursor has moved on.
+			// A lost acknowledgement costs only memory in the service, because the next pull starts after the cursor.
 		}
 	}
 
-	#receive(received: Received, sample: Sample, statedVersion: number): void {
+	#receive(received: ReceivedStep, sample: Sample, statedVersion: number): void {
 		if (received.samples.has(sample.id)) {
-			received.doubled += 1;
+			received.duplicates += 1;
 			return;
 		}
 
 		const now = performance.now();
 		received.idleMs += Math.max(0, now - received.busyUntil);
-		received.busyUntil = Math.max(now, received.busyUntil) + workMs;
+		received.busyUntil = Math.max(now, received.busyUntil) + sampleWorkMs;
 		received.samples.set(sample.id, sample);
-		const behind = statedVersion - Math.min(...sample.versions.map(({version}) => version));
-		received.staleness.set(behind, (received.staleness.get(behind) ?? 0) + 1);
+		const staleness = statedVersion - Math.min(...sample.versions.map(({version}) => version));
+		received.staleness.set(staleness, (received.staleness.get(staleness) ?? 0) + 1);
 		this.#settings.onSample?.(sample);
 	}
 }
