--- a/packages/entry/__tests__/view.spec.ts
+++ b/packages/entry/__tests__/agent-links.spec.ts
@@ -4,8 +4,8 @@
 import type {Member} from '@wasabiusher/backends';
 import {createSilentLog, Random} from '@wasabiusher/shared';
 import {Dispatcher} from '@wasabiusher/systems';
-import {View, type AgentLink} from '../src/view.js';
-import {ViewSubset} from '../src/view-subset.js';
+import {AgentLinks, type AgentLink} from '../src/agent-links.js';
+import {AgentSubset} from '../src/agent-subset.js';
 import {createStatus} from './fixtures.js';
 
 /** A link that the test opens and breaks. */
@@ -48,7 +48,7 @@
 	};
 }
 
-type Fixture = {view: View; dispatcher: Dispatcher; links: FakeLink[]; members: Member[] | Error; lost: string[]; readings: number};
+type Fixture = {view: AgentLinks; dispatcher: Dispatcher; links: FakeLink[]; members: Member[] | Error; lost: string[]; readings: number};
 
 function createFixture(members: Member[]): Fixture {
 	const links: FakeLink[] = [];
@@ -58,7 +58,7 @@
 		lost: [],
 		readings: 0,
 		dispatcher: new Dispatcher({random: new Random(1), send: (agent, message) => fixture.view.send(agent, message)}),
-		view: new View({
+		view: new AgentLinks({
 			identity: {name: 'entry-1', keys: ['k']},
 			dataCentre: 'muroran',
 			region: 'hokkaido',
@@ -224,8 +224,8 @@
 		const members = listMembers(20, 200);
 		const counts = new Map<string, number>();
 		for (let i = 0; i < 20; i += 1) {
-			const chosen = new ViewSubset({name: `e${i}`, dataCentre: 'muroran', region: 'hokkaido'}).choose(members.toReversed());
-			expect([...chosen]).to.have.members([...new ViewSubset({name: `e${i}`, dataCentre: 'muroran', region: 'hokkaido'}).choose(members)]);
+			const chosen = new AgentSubset({name: `e${i}`, dataCentre: 'muroran', region: 'hokkaido'}).choose(members.toReversed());
+			expect([...chosen]).to.have.members([...new AgentSubset({name: `e${i}`, dataCentre: 'muroran', region: 'hokkaido'}).choose(members)]);
 			expect(chosen.size).to.be.within(60, 64);
 			for (const agent of chosen) {
 				counts.set(agent, (counts.get(agent) ?? 0) + 1);
@@ -243,7 +243,7 @@
 			createMember('ledger-1', {service: 'ledger'}),
 			...Array.from({length: 30}, (_, i) => createMember(`far${i}`, {dataCentre: 'ishikari'})),
 		];
-		const chosen = [...new ViewSubset({name: 'e0', dataCentre: 'muroran', region: 'hokkaido'}).choose(members)];
+		const chosen = [...new AgentSubset({name: 'e0', dataCentre: 'muroran', region: 'hokkaido'}).choose(members)];
 		expect(chosen).to.include('ledger-1');
 		expect(chosen.filter(id => id.startsWith('far'))).to.have.lengthOf(8);
 		expect(chosen).to.have.lengthOf(64 + 1 + 8);
@@ -253,7 +253,7 @@
 		const members = Array.from({length: 18}, (_, place) => Array.from({length: 20}, (__, i) => createMember(`dc${place}-${i}`, {
 			dataCentre: `dc${place}`, region: place === 11 ? 'hokkaido' : `region-${place % 6}`,
 		}))).flat();
-		const chosen = [...new ViewSubset({name: 'e0', dataCentre: 'muroran', region: 'hokkaido'}).choose(members)];
+		const chosen = [...new AgentSubset({name: 'e0', dataCentre: 'muroran', region: 'hokkaido'}).choose(members)];
 		const dataCentres = new Set(chosen.map(id => id.split('-')[0]));
 		expect(chosen).to.have.lengthOf(3 * 8);
 		expect([...dataCentres]).to.have.lengthOf(3).and.include('dc11');
--- a/packages/entry/__tests__/claims.spec.ts
+++ b/packages/entry/__tests__/claims.spec.ts
@@ -140,7 +140,7 @@
 	it('are committed by an entry itself when it can not prove the key, or gatherers have left', async () => {
 		expect(await town.post(stranger, 'k')).to.equal('201');
 		expect(town.writers).to.include(stranger);
-		await Promise.all([...town.claims.values()].map(async claims => claims.endGathering()));
+		await Promise.all([...town.claims.values()].map(async claims => claims.stopGathering()));
 		const answers = await Promise.all([plain, ...gatherers].map(async name => town.post(name, name)));
 		expect(answers).to.deep.equal(['201', '201', '201']);
 		expect(town.writers).to.include(plain);
--- a/packages/entry/__tests__/control.spec.ts
+++ b/packages/entry/__tests__/control.spec.ts
@@ -3,7 +3,7 @@
 import type {EndpointStatus, Message, MessageOf} from '@wasabiusher/link';
 import {createSilentLog, Random} from '@wasabiusher/shared';
 import {MemoryTableService, MemoryWeightStore} from '@wasabiusher/standins';
-import {createControl, type Control, type ViewedEndpoint} from '../src/control.js';
+import {createControl, type Control, type KnownEndpoint} from '../src/control.js';
 
 function createStatus(service: string, version?: number): EndpointStatus {
 	return {
@@ -29,7 +29,7 @@
 
 /** Two engines and a plain service; orders are carried out at once, and refused under a lower fence. */
 class FakeEndpoints {
-	readonly rows = new Map<string, ViewedEndpoint>([
+	readonly rows = new Map<string, KnownEndpoint>([
 		['engine-0', {id: 'engine-0', isUp: true, status: createStatus('models', 1)}],
 		['engine-1', {id: 'engine-1', isUp: true, status: createStatus('models', 1)}],
 		['ledger-0', {id: 'ledger-0', isUp: true, status: createStatus('ledger')}],
--- a/packages/entry/__tests__/drain-notice.spec.ts
+++ b/packages/entry/__tests__/drain-notice.spec.ts
@@ -16,7 +16,7 @@
 	async function measure(notice: DrainNotice): Promise<number> {
 		const start = clock.now;
 		let endedAt = Number.NaN;
-		void notice.give().then(() => {
+		void notice.waitForBalancer().then(() => {
 			endedAt = clock.now;
 		});
 		await clock.tickAsync(60_000);
--- a/packages/entry/__tests__/settings.spec.ts
+++ b/packages/entry/__tests__/settings.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {parseSettings} from '@wasabiusher/daemon';
 import {entrySettingsSchema} from '../src/index.js';
-import {listUnguarded} from '../src/settings.js';
+import {listMissingSecrets} from '../src/settings.js';
 
 const required = ['--name', 'e1', '--data-centre', 'muroran', '--platform', 'http://127.0.0.1:1'];
 
@@ -13,7 +13,7 @@
 
 describe('settings of the entry', () => {
 	it('names the secrets that are not set on loopback', () => {
-		expect(listUnguarded(parse('--trainer-tokens', 't1')!)).to.deep.equal(['linkKeys', 'operatorTokens']);
+		expect(listMissingSecrets(parse('--trainer-tokens', 't1')!)).to.deep.equal(['linkKeys', 'operatorTokens']);
 	});
 
 	it('refuses an address that others can reach without the secret that guards it', () => {
--- a/packages/entry/src/view.ts
+++ b/packages/entry/src/agent-links.ts
@@ -1,8 +1,8 @@
 /**
- * The endpoints that an entry has in view: links to their agents, kept as the membership list changes.
+ * Keeps links from an entry to the agents of its endpoints, and updates them as the membership list changes.
  *
- * The list lags and may be unavailable, so it adds and retires, but does not cut: a link
- * is closed only when nothing of this entry is open behind it.
+ * The list lags and may be unavailable, so a change in it opens links and retires endpoints, but does not cut work
+ * off: a link is closed only when this entry has no open attempts behind it.
  */
 import {
 	LinkClient, LinkError, type Identity, type LinkClientOptions, type Message,
@@ -10,34 +10,34 @@
 import type {Member, MembershipList} from '@wasabiusher/backends';
 import {describeError, type Log, type Random} from '@wasabiusher/shared';
 import type {Dispatcher} from '@wasabiusher/systems';
-import {ViewSubset} from './view-subset.js';
+import {AgentSubset} from './agent-subset.js';
 
-/** Shortest time between two readings of the membership list, in milliseconds. */
-const minMembershipMs = 1000;
+/** Minimum interval between two reads of the membership list, in milliseconds. */
+const minRefreshIntervalMs = 1000;
 
 /**
- * Time added to it for each member, in milliseconds: at some 150 bytes a member the list costs 10 KB/s
- * at the most, of the 28 KB/s that a host may spend on control. With today's few tens of hosts it is read
- * each second, with 11,700 every 3 minutes; that an agent leaves is learnt from itself, at once.
+ * Read interval per member of the list, in milliseconds. At about 150 bytes per member, reading the list costs at
+ * most 10 KB/s of the 28 KB/s that a host may spend on control. A list of a few tens of hosts is read every second,
+ * one of 11,700 every 3 minutes. A leaving agent does not depend on this: it reports that itself, immediately.
  */
 export const msPerMember = 15;
 
-/** Part of the time by which readings are spread, so that entries started together do not read together. */
-const membershipJitter = 0.2;
+/** Jitter as a fraction of the interval, so that entries started together do not read the list at the same time. */
+const refreshJitter = 0.2;
 
 /**
- * How long an agent may be missing from the list and still get work, in milliseconds. The
- * list may lose a live host for a while; the agent itself says when it leaves.
+ * How long an agent may be missing from the list and still receive work, in milliseconds. The list
+ * may lose a live host temporarily; a leaving agent reports that itself.
  */
-const missingMs = 10_000;
+const missingGraceMs = 10_000;
 
-/** Longest wait for the first links, in milliseconds; without it the first calls are refused for want of endpoints. */
-const firstLinksMs = 1000;
+/** Maximum wait for the first links at start, in milliseconds. Without the wait, the first calls are refused because no endpoint is known. */
+const firstLinksTimeoutMs = 1000;
 
-/** How often they are looked at, in milliseconds. */
-const lookMs = 10;
+/** Polling interval during that wait, in milliseconds. */
+const linkPollMs = 10;
 
-export type ViewSettings = {
+export type AgentLinksSettings = {
 	identity: Identity;
 	dataCentre: string;
 	region: string;
@@ -48,60 +48,60 @@
 	onMessage(agent: string, message: Message): void;
 	onUp(agent: string): void;
 	onDown(agent: string): void;
-	/** Hears of each list that was read. */
+	/** Called with each list that was read. */
 	onMembers?(members: readonly Member[]): void;
 	/** Opens a link; `LinkClient` by default. */
 	connect?(options: LinkClientOptions): AgentLink;
 };
 
-/** What the view asks of a link. */
+/** The part of a link that `AgentLinks` uses. */
 export type AgentLink = Pick<LinkClient, 'send' | 'close' | 'isUp'>;
 
-type ViewedAgent = {
+type LinkedAgent = {
 	address: string;
 	client: AgentLink;
-	/** Its link has been up since it was last lost. */
+	/** Whether the link has come up since it was last lost. */
 	isLinked: boolean;
-	/** Since when it is not wanted, on the monotonic clock in milliseconds; undefined while it is. */
-	unwantedSince?: number;
+	/** Monotonic time in milliseconds since which the agent is not in the subset; undefined while it is. */
+	unneededSince?: number;
 };
 
 function openLink(options: LinkClientOptions): AgentLink {
 	return new LinkClient(options);
 }
 
-/** Links to agents by name. */
-export class View {
-	readonly #settings: ViewSettings;
-	readonly #subset: ViewSubset;
-	readonly #agents = new Map<string, ViewedAgent>();
+/** Links to agents, by name of the agent. */
+export class AgentLinks {
+	readonly #settings: AgentLinksSettings;
+	readonly #subset: AgentSubset;
+	readonly #agents = new Map<string, LinkedAgent>();
 	#entries: string[] = [];
 	#members = 0;
 	#isRefreshing = false;
 	#isStopped = false;
 	#timer: NodeJS.Timeout | undefined;
 
-	constructor(settings: ViewSettings) {
+	constructor(settings: AgentLinksSettings) {
 		this.#settings = settings;
-		this.#subset = new ViewSubset({name: settings.identity.name, dataCentre: settings.dataCentre, region: settings.region});
+		this.#subset = new AgentSubset({name: settings.identity.name, dataCentre: settings.dataCentre, region: settings.region});
 	}
 
-	/** Names of the live entries of this data centre, as last listed. */
+	/** Names of the live entries of this data centre, from the last list read. */
 	get entries(): readonly string[] {
 		return this.#entries;
 	}
 
-	/** Links that are up, and those that are wanted or still in use. */
+	/** Number of links that are up, and of all links, including those that are being closed. */
 	get counts(): {up: number; all: number} {
 		const agents = [...this.#agents.values()];
 		return {up: agents.filter(({client}) => client.isUp).length, all: agents.length};
 	}
 
-	/** Resolves when the agents listed are linked to, or not in time. */
+	/** Resolves when all links are up, or after `firstLinksTimeoutMs`. */
 	async start(): Promise<void> {
 		await this.refresh();
 		await this.#waitForLinks();
-		this.#refreshLater();
+		this.#scheduleRefresh();
 	}
 
 	stop(): void {
@@ -112,7 +112,7 @@
 		}
 	}
 
-	/** False if there is no link at present, or the message can't be sent on it. */
+	/** Sends a message to an agent; returns false if there is no link or the message cannot be sent on it. */
 	send(agent: string, message: Message): boolean {
 		try {
 			return this.#agents.get(agent)?.client.send(message) ?? false;
@@ -134,7 +134,7 @@
 		}
 	}
 
-	/** Reads the list and follows it; an unavailable list changes nothing. */
+	/** Reads the list and applies it; an unavailable list changes nothing. */
 	async refresh(): Promise<void> {
 		if (this.#isRefreshing) {
 			return;
@@ -144,7 +144,7 @@
 		const {membership, log} = this.#settings;
 		try {
 			const members = await membership.list();
-			this.#follow(members);
+			this.#applyMembership(members);
 			this.#settings.onMembers?.(members);
 		} catch (error) {
 			log.warn('membership_unavailable', {reason: describeError(error)});
@@ -154,37 +154,37 @@
 	}
 
 	async #waitForLinks(): Promise<void> {
-		const until = performance.now() + firstLinksMs;
+		const until = performance.now() + firstLinksTimeoutMs;
 		while (this.counts.up < this.counts.all && performance.now() < until) {
-			// Each look waits for the one before.
+			// Polls sequentially.
 			// eslint-disable-next-line no-await-in-loop
 			await new Promise<void>(resolve => {
-				setTimeout(resolve, lookMs);
+				setTimeout(resolve, linkPollMs);
 			});
 		}
 	}
 
-	#refreshLater(): void {
+	#scheduleRefresh(): void {
 		if (this.#isStopped) {
 			return;
 		}
 
-		const periodMs = Math.max(minMembershipMs, this.#members * msPerMember);
-		const jitter = 1 + (membershipJitter * (this.#settings.random.next() - 0.5));
+		const periodMs = Math.max(minRefreshIntervalMs, this.#members * msPerMember);
+		const jitter = 1 + (refreshJitter * (this.#settings.random.next() - 0.5));
 		this.#timer = setTimeout(() => {
-			void this.#refreshAgain();
+			void this.#refreshAndReschedule();
 		}, periodMs * jitter);
 	}
 
-	async #refreshAgain(): Promise<void> {
+	async #refreshAndReschedule(): Promise<void> {
 		await this.refresh();
-		this.#refreshLater();
+		this.#scheduleRefresh();
 	}
 
-	#follow(members: readonly Member[]): void {
+	#applyMembership(members: readonly Member[]): void {
 		this.#members = members.length;
 		const agents = new Map(members.filter(({role}) => role === 'agent').map(member => [member.id, member]));
-		// All gone at once is a fault of the list, not of the hosts.
+		// A list without any agent is treated as a fault of the list, not as the loss of all hosts.
 		if (agents.size === 0 && this.#agents.size > 0) {
 			return;
 		}
@@ -193,17 +193,17 @@
 		this.#entries = members.filter(member => member.role === 'entry' && member.state === 'live' && member.dataCentre === dataCentre).map(({id}) => id);
 		const wanted = this.#subset.choose(members);
 		for (const id of wanted) {
-			this.#want(agents.get(id)!);
+			this.#keepLink(agents.get(id)!);
 		}
 
 		for (const [id, agent] of this.#agents) {
 			if (!wanted.has(id)) {
-				this.#unwant(id, agent, agents.get(id));
+				this.#releaseLink(id, agent, agents.get(id));
 			}
 		}
 	}
 
-	#want({id, address, dataCentre}: Member): void {
+	#keepLink({id, address, dataCentre}: Member): void {
 		const agent = this.#agents.get(id);
 		if (!agent) {
 			this.#agents.set(id, {address, client: this.#connect(id, address, dataCentre), isLinked: false});
@@ -211,22 +211,22 @@
 		}
 
 		if (agent.address !== address) {
-			// Replaced under the same name: what was open is asked for there, and answered as not known.
+			// The agent was replaced under the same name. Open attempts are resumed there, and it reports them as unknown.
 			agent.client.close();
 			agent.address = address;
 			agent.client = this.#connect(id, address, dataCentre);
 		}
 
-		agent.unwantedSince = undefined;
+		agent.unneededSince = undefined;
 		this.#settings.dispatcher().restore(id);
 	}
 
-	#unwant(id: string, agent: ViewedAgent, member: Member | undefined): void {
+	#releaseLink(id: string, agent: LinkedAgent, member: Member | undefined): void {
 		const dispatcher = this.#settings.dispatcher();
 		const now = performance.now();
-		agent.unwantedSince ??= now;
+		agent.unneededSince ??= now;
 		const isMissing = member === undefined;
-		if (isMissing && now - agent.unwantedSince < missingMs) {
+		if (isMissing && now - agent.unneededSince < missingGraceMs) {
 			return;
 		}
 
@@ -240,16 +240,16 @@
 
 	#connect(agent: string, address: string, dataCentre: string): AgentLink {
 		const {identity, random, onMessage, connect = openLink} = this.#settings;
-		// What an earlier link of the same agent still says is not heard.
+		// Messages and events of an earlier link to the same agent are ignored.
 		const client: AgentLink = connect({
 			address,
 			identity,
 			random,
 			onUp: () => {
-				this.#noteUp(agent, client, dataCentre);
+				this.#handleLinkUp(agent, client, dataCentre);
 			},
 			onDown: error => {
-				this.#noteDown(agent, client, error?.message);
+				this.#handleLinkDown(agent, client, error?.message);
 			},
 			onMessage: message => {
 				if (this.#agents.get(agent)?.client === client) {
@@ -260,7 +260,7 @@
 		return client;
 	}
 
-	#noteUp(id: string, client: AgentLink, dataCentre: string): void {
+	#handleLinkUp(id: string, client: AgentLink, dataCentre: string): void {
 		const agent = this.#agents.get(id);
 		if (agent?.client === client) {
 			const {dispatcher, onUp} = this.#settings;
@@ -270,8 +270,8 @@
 		}
 	}
 
-	/** A link was lost, or could not be opened, which is tried again and again. */
-	#noteDown(id: string, client: AgentLink, reason: string | undefined): void {
+	/** Handles a lost link, or a failed attempt to open one; the link itself retries. */
+	#handleLinkDown(id: string, client: AgentLink, reason: string | undefined): void {
 		const agent = this.#agents.get(id);
 		if (agent?.client !== client) {
 			return;
--- a/packages/entry/src/view-subset.ts
+++ b/packages/entry/src/agent-subset.ts
@@ -1,38 +1,38 @@
 /**
- * Which agents an entry links to, by the membership list: a subset of each service in its
- * own data centre, and a few elsewhere to spill to.
+ * Selects the agents that an entry links to from the membership list: a subset of each service in
+ * its own data centre, and a few in other data centres for spillover.
  */
 import {defaultDegree, findSubset} from '@wasabiusher/decisions';
 import type {Member} from '@wasabiusher/backends';
 import {orderByRank} from '@wasabiusher/shared';
 
 /**
- * Agents of a service linked to in each other data centre. Enough to carry on when the own
- * data centre's are lost, at an eighth of the links.
+ * Number of agents linked per service in each other data centre. They are enough to keep serving when all
+ * agents of the own data centre are lost, at an eighth of the links.
  */
 export const farDegree = 8;
 
 /**
- * Other data centres linked to for each service, those of the own region first. Were it all of 18, an entry would have
- * 208 links, and heartbeats and load reports alone would cost ten times what control may.
+ * Number of other data centres linked per service, those of the own region first. With all of 18 data centres an entry
+ * would have 208 links, and heartbeats and load reports alone would exceed the bandwidth budget for control tenfold.
  */
 export const farDataCentres = 3;
 
-/** Who looks at the list. */
-export type Viewer = {name: string; dataCentre: string; region: string};
+/** The entry that the subset is selected for. */
+export type SubsetOwner = {name: string; dataCentre: string; region: string};
 
-type Group = {dataCentre: string; region: string; service: string; agents: string[]};
+type AgentGroup = {dataCentre: string; region: string; service: string; agents: string[]};
 
-/** Chooses agents; remembers its choices, since a list that has not changed is read each second. */
-export class ViewSubset {
-	readonly #viewer: Viewer;
+/** Selects agents. Caches the selection per group, since an unchanged list is read again every second. */
+export class AgentSubset {
+	readonly #owner: SubsetOwner;
 	readonly #choices = new Map<string, {signature: string; chosen: string[]}>();
 
-	constructor(viewer: Viewer) {
-		this.#viewer = viewer;
+	constructor(viewer: SubsetOwner) {
+		this.#owner = viewer;
 	}
 
-	/** Names of the agents to be linked to. */
+	/** Returns the names of the agents to link to. */
 	choose(members: readonly Member[]): Set<string> {
 		const entries = this.#listEntries(members);
 		const groups = groupAgents(members);
@@ -42,49 +42,49 @@
 			}
 		}
 
-		return new Set([...this.#listNear(groups)].flatMap(([key, group]) => this.#chooseOf(key, group, entries)));
+		return new Set([...this.#listEligibleGroups(groups)].flatMap(([key, group]) => this.#chooseFromGroup(key, group, entries)));
 	}
 
-	/** Entries of the own data centre that share its agents with this one. */
+	/** Live entries of the own data centre, including this one, sorted by name. */
 	#listEntries(members: readonly Member[]): string[] {
-		const {name, dataCentre} = this.#viewer;
+		const {name, dataCentre} = this.#owner;
 		const others = members
 			.filter(member => member.role === 'entry' && member.state === 'live' && member.dataCentre === dataCentre)
 			.map(({id}) => id);
 		return [...new Set([...others, name])].toSorted((a, b) => a.localeCompare(b));
 	}
 
-	/** Groups of the own data centre, and for each service those of a few others. */
-	#listNear(groups: ReadonlyMap<string, Group>): Map<string, Group> {
-		const {dataCentre: home, region: homeRegion} = this.#viewer;
+	/** Groups of the own data centre and, for each service, of up to `farDataCentres` others. */
+	#listEligibleGroups(groups: ReadonlyMap<string, AgentGroup>): Map<string, AgentGroup> {
+		const {dataCentre: home, region: homeRegion} = this.#owner;
 		const far = [...groups.values()].filter(({dataCentre}) => dataCentre !== home);
 		return new Map([...groups].filter(([, {dataCentre, service}]) => {
 			const others = far.filter(group => group.service === service);
 			const near = new Set(others.filter(({region}) => region === homeRegion).map(group => group.dataCentre));
-			// Ranked by the own data centre's name, so that its entries share links to the same few.
+			// Ranked by the name of the own data centre, so that all of its entries select the same others.
 			const ranked = orderByRank(`far/${home}`, others.map(group => group.dataCentre));
 			const chosen = [...ranked.filter(name => near.has(name)), ...ranked.filter(name => !near.has(name))].slice(0, farDataCentres);
 			return dataCentre === home || chosen.includes(dataCentre);
 		}));
 	}
 
-	#chooseOf(key: string, {dataCentre, agents}: Group, entries: string[]): string[] {
+	#chooseFromGroup(key: string, {dataCentre, agents}: AgentGroup, entries: string[]): string[] {
 		const signature = JSON.stringify([entries, agents]);
 		const known = this.#choices.get(key);
 		if (known?.signature === signature) {
 			return known.chosen;
 		}
 
-		const degree = dataCentre === this.#viewer.dataCentre ? defaultDegree : farDegree;
-		const chosen = findSubset(this.#viewer.name, entries, agents, {degree});
+		const degree = dataCentre === this.#owner.dataCentre ? defaultDegree : farDegree;
+		const chosen = findSubset(this.#owner.name, entries, agents, {degree});
 		this.#choices.set(key, {signature, chosen});
 		return chosen;
 	}
 }
 
-/** Live agents by data centre and service. */
-function groupAgents(members: readonly Member[]): Map<string, Group> {
-	const groups = new Map<string, Group>();
+/** Groups live agents by data centre and service. */
+function groupAgents(members: readonly Member[]): Map<string, AgentGroup> {
+	const groups = new Map<string, AgentGroup>();
 	for (const {id, role, state, dataCentre, region, service = ''} of members) {
 		if (role === 'agent' && state === 'live') {
 			const key = `${dataCentre}/${service}`;
--- a/packages/entry/src/announcer.ts
+++ b/packages/entry/src/announcer.ts
@@ -1,13 +1,13 @@
 /**
- * Keeps this process's row in the membership list.
+ * Keeps the row of this process in the membership list up to date.
  */
 import type {Member, MembershipList} from '@wasabiusher/backends';
 import {describeError, type Log} from '@wasabiusher/shared';
 
-/** How often the row is written again, in milliseconds; the list forgets who is silent for longer. */
-const announceMs = 5000;
+/** How often the row is rewritten, in milliseconds; the list drops processes that have not announced themselves for longer. */
+const announceIntervalMs = 5000;
 
-/** Announces one process until it has left. */
+/** Announces one process periodically until it is stopped. */
 export class Announcer {
 	readonly #membership: MembershipList;
 	readonly #log: Log;
@@ -24,14 +24,14 @@
 		await this.announce();
 		this.#timer = setInterval(() => {
 			void this.announce();
-		}, announceMs);
+		}, announceIntervalMs);
 	}
 
 	stop(): void {
 		clearInterval(this.#timer);
 	}
 
-	/** Writes the row at once; a list that can not be reached is only logged. */
+	/** Writes the row immediately. An unreachable list is logged and not thrown. */
 	async announce(): Promise<void> {
 		try {
 			await this.#membership.announce(this.#describe());
--- a/packages/entry/src/answers.ts
+++ b/packages/entry/src/answers.ts
@@ -1,5 +1,5 @@
 /**
- * Writing of answers: problems and server-sent events.
+ * Writes responses: problem documents and server-sent events.
  */
 import type {ServerResponse} from 'node:http';
 import {HttpError, type ErrorHandler, type HttpErrorCode} from '@wasabiusher/daemon';
@@ -9,7 +9,7 @@
 import type {Run} from '@wasabiusher/systems';
 import {ProblemError, type ProblemDetails} from './errors.js';
 
-/** Answers with a problem; `Retry-After` is in whole seconds, at least one. */
+/** Responds with a problem document. `Retry-After` is in whole seconds, at least 1. */
 export function sendProblem(response: ServerResponse, problem: Problem, details: ProblemDetails = {}): void {
 	const headers: Record<string, string> = {'content-type': 'application/problem+json'};
 	if (problem.retryAfterMs !== undefined) {
@@ -20,7 +20,7 @@
 		headers['www-authenticate'] = 'Bearer';
 	}
 
-	// The rest of the body will not be read, so the connection can't carry another request.
+	// The rest of the request body is not read, so the connection cannot be reused for another request.
 	if (problem.kind === 'too-large') {
 		headers.connection = 'close';
 	}
@@ -29,7 +29,7 @@
 	response.end(`${JSON.stringify({...problem, ...details})}\n`);
 }
 
-/** Answers what a route has thrown. */
+/** Responds to an error thrown by a route; closes the connection if the headers have been sent already. */
 export const answerError: ErrorHandler = (error, {response}) => {
 	if (response.headersSent) {
 		response.destroy();
@@ -54,22 +54,22 @@
 		: createProblem('internal', describeError(error), 'unknown'));
 }
 
-/** Begins a stream of server-sent events. */
-export function startEvents(response: ServerResponse): void {
-	// `x-accel-buffering` asks balancers not to hold events back.
+/** Sends the headers of a stream of server-sent events. */
+export function startEventStream(response: ServerResponse): void {
+	// `x-accel-buffering` tells load balancers not to buffer events.
 	response.writeHead(200, {'content-type': 'text/event-stream', 'cache-control': 'no-store', 'x-accel-buffering': 'no'});
 	response.flushHeaders();
 }
 
-/** Writes one server-sent event; false if the reader has to catch up before the next. */
+/** Writes one server-sent event. Returns false if the write buffer is full and the next event should wait for `drain`. */
 export function sendEvent(response: ServerResponse, data: unknown, event?: string): boolean {
 	const name = event === undefined ? '' : `event: ${event}\n`;
 	return response.write(`${name}data: ${typeof data === 'string' ? data : JSON.stringify(data)}\n\n`);
 }
 
 /**
- * Binds a call to the connection of its caller: the caller's going away cancels it, and
- * a connection that takes no more pauses it until it has drained.
+ * Binds a call to the connection of its caller: a closed connection cancels the call, and
+ * a drained write buffer resumes a call that was paused by backpressure.
  */
 export function bindRun(response: ServerResponse, run: Run): void {
 	response.on('close', () => {
@@ -78,7 +78,7 @@
 	response.on('drain', () => {
 		run.resume?.();
 	});
-	// The caller may have gone while its request was read, and `close` does not come again.
+	// The caller may have disconnected while its request was read; `close` is not emitted a second time.
 	if (response.destroyed) {
 		run.cancel();
 	}
--- a/packages/entry/src/call-headers.ts
+++ b/packages/entry/src/call-headers.ts
@@ -1,26 +1,26 @@
 /**
- * The headers by which callers say how a request is to be served.
+ * Reads the request headers that select the profile, the deadline, the caller's name and the idempotency key.
  */
 import type {IncomingMessage} from 'node:http';
 import type {Configuration, Profile} from '@wasabiusher/shared';
-import {refuseRequest} from './errors.js';
+import {rejectRequest} from './errors.js';
 
 export type CallHeaders = {
 	profileName: string;
 	profile: Profile;
 	caller: string;
-	/** On the monotonic clock, in milliseconds. */
+	/** Monotonic clock, in milliseconds. */
 	deadlineAt: number;
 	idempotencyKey?: string;
 };
 
-/** Longest name of a caller, in characters; it is kept for as long as the caller is remembered. */
+/** Maximum length of a caller's name, in characters. Bounds memory: the name is kept as long as the state of its caller. */
 const maxCallerLength = 128;
 
-/** Longest idempotency key, in characters, as is customary for this header. */
+/** Maximum length of an idempotency key, in characters; the usual limit for this header. */
 const maxKeyLength = 255;
 
-/** Longest deadline, in milliseconds: a day, as for profiles; the runtime's timers end at 24 days. */
+/** Maximum deadline, in milliseconds: one day, as for profiles. Timers of the runtime overflow after 24 days. */
 const maxTimeoutMs = 86_400_000;
 
 function readHeader(request: IncomingMessage, name: string): string | undefined {
@@ -31,7 +31,7 @@
 function readText(request: IncomingMessage, name: string, maxLength: number): string | undefined {
 	const value = readHeader(request, name);
 	if (value !== undefined && (value.length === 0 || value.length > maxLength)) {
-		refuseRequest(`header ${name}: expected 1 to ${maxLength} characters, got ${value.length}`);
+		rejectRequest(`header ${name}: expected 1 to ${maxLength} characters, got ${value.length}`);
 	}
 
 	return value;
@@ -44,26 +44,26 @@
 		return undefined;
 	}
 
-	// `Number` takes the empty text for 0.
+	// `Number('')` is 0.
 	const timeoutMs = text.trim() === '' ? Number.NaN : Number(text);
 	if (!Number.isFinite(timeoutMs) || timeoutMs > maxTimeoutMs) {
-		refuseRequest(`header ${name}: expected milliseconds up to ${maxTimeoutMs}, got "${text.slice(0, 64)}"`);
+		rejectRequest(`header ${name}: expected milliseconds up to ${maxTimeoutMs}, got "${text.slice(0, 64)}"`);
 	}
 
 	if (timeoutMs <= 0) {
-		refuseRequest(`header ${name}: the deadline has passed already, got "${text}"`);
+		rejectRequest(`header ${name}: the deadline has passed already, got "${text}"`);
 	}
 
 	return timeoutMs;
 }
 
-/** Reads and checks the headers; throws `ProblemError` naming the bad one. */
+/** Reads and validates the headers; throws a `ProblemError` that names the invalid header. */
 export function readCallHeaders(request: IncomingMessage, {profiles}: Configuration): CallHeaders {
 	const arrivedAt = performance.now();
-	const profileName = readHeader(request, 'Wasabiusher-Profile') ?? refuseRequest('header Wasabiusher-Profile is required');
+	const profileName = readHeader(request, 'Wasabiusher-Profile') ?? rejectRequest('header Wasabiusher-Profile is required');
 	const profile = Object.hasOwn(profiles, profileName)
 		? profiles[profileName]!
-		: refuseRequest(`header Wasabiusher-Profile: there is no profile "${profileName.slice(0, 64)}"`);
+		: rejectRequest(`header Wasabiusher-Profile: there is no profile "${profileName.slice(0, 64)}"`);
 	return {
 		profileName,
 		profile,
--- a/packages/entry/src/caller-routes.ts
+++ b/packages/entry/src/caller-routes.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' interface: completions, and all else forwarded to plain services.
+ * HTTP routes for callers: completions, and a catch-all that forwards requests to plain services.
  */
 import type {HttpServer} from '@wasabiusher/daemon';
 import {createProblem, type Configuration} from '@wasabiusher/shared';
@@ -9,12 +9,12 @@
 import {handleForward} from './forwarding.js';
 
 export type CallerRoutes = {
-	/** Takes a call; `idempotencyKey` is its caller's. */
+	/** Starts a call; `idempotencyKey` is the one that the caller sent, if any. */
 	submit(call: Call, listener: CallListener, idempotencyKey?: string): Run;
 	configuration(): Configuration;
 };
 
-/** Adds the routes to a server; the last of them take all paths that were not taken before. */
+/** Adds the routes to a server. The last ones match every path, so other routes must be added before. */
 export function addCallerRoutes(server: HttpServer, routes: CallerRoutes): void {
 	server.on('post', '/v1/completions', async exchange => handleCompletion('text', exchange, routes));
 	server.on('post', '/v1/chat/completions', async exchange => handleCompletion('chat', exchange, routes));
@@ -23,10 +23,10 @@
 	addUnknownRoute(server);
 }
 
-/** Longest part of a path that an answer repeats, in characters. */
+/** Maximum length of a path quoted in an error message, in characters. */
 const maxShownPath = 128;
 
-/** Answers paths that no route takes. */
+/** Responds with `not-found` to paths that no other route matches. */
 export function addUnknownRoute(server: HttpServer): void {
 	server.on('all', '*', ({request}) => {
 		throw new ProblemError(createProblem('not-found', `there is no route ${request.method} ${request.url!.slice(0, maxShownPath)}`, 'no'));
--- a/packages/entry/src/claims.ts
+++ b/packages/entry/src/claims.ts
@@ -1,5 +1,5 @@
 /**
- * Keyed calls of an entry: claimed through the entries that gather claims, then dispatched.
+ * Runs the keyed calls of an entry: claims the key through the entries that batch the commits of claims, then dispatches the call.
  */
 import type {Server} from 'node:http';
 import type {Identity} from '@wasabiusher/link';
@@ -13,20 +13,20 @@
 
 export type ClaimsSettings = {
 	identity: Identity;
-	/** Where links of other entries are accepted. */
+	/** Accepts links from other entries. */
 	server: Server;
 	tables: TableService;
 	objects: ObjectStore;
 	dispatcher: Pick<Dispatcher, 'submit'>;
 	invariants: Invariants;
 	log: Log;
-	/** Entries of a data centre up to which each commits by itself. */
+	/** Number of entries in a data centre up to which each commits its own claims. */
 	maxDirect?: number;
 	/** Names of the live entries of this data centre. */
 	listEntries(): readonly string[];
 };
 
-/** Runs keyed calls, and gathers claims of other entries. */
+/** Runs keyed calls, and commits claims on behalf of other entries. */
 export class Claims {
 	readonly #peers: EntryPeers;
 	readonly #commits: CommitGateway;
@@ -60,7 +60,7 @@
 		return this.#calls.openCalls;
 	}
 
-	/** Whether a link to each entry that gathers is up. */
+	/** Whether the links to all gatherers (entries that commit claims for others) are up. */
 	get isLinked(): boolean {
 		return this.#peers.isLinked;
 	}
@@ -69,17 +69,17 @@
 		return this.#calls.submit(call, key, listener);
 	}
 
-	/** Follows the membership list: links are kept to the entries that gather. */
+	/** Applies the membership list: keeps links to the gatherers. */
 	follow(members: readonly Member[]): void {
 		this.#peers.follow(this.#commits.gatherers, members);
 	}
 
-	/** Gathers no more for others; what is under way is answered first. */
-	async endGathering(): Promise<void> {
+	/** Stops committing claims of other entries. Resolves once the requests in flight are answered. */
+	async stopGathering(): Promise<void> {
 		await this.#peers.endAccepted();
 	}
 
-	/** Resolves when all calls have ended and are recorded, or not in time. */
+	/** Resolves when all calls have ended and are recorded, or the time limit for recording has passed. */
 	async drain(): Promise<void> {
 		await this.#calls.drain();
 		this.#peers.stop();
--- a/packages/entry/src/completions-body.ts
+++ b/packages/entry/src/completions-body.ts
@@ -1,14 +1,14 @@
 /**
- * Bodies of completion requests. Fields that are not known are let pass, since clients
- * send many; those that are known and can't be honoured are refused by name.
+ * Schemas of completion request bodies. Unknown fields are ignored, since client libraries
+ * send many; known fields with unsupported values are rejected by name.
  */
 import {z} from 'zod';
 import type {GenerationRequest} from '@wasabiusher/shared';
 
-/** Tokens made when the caller does not say, as is customary for this interface. */
+/** Default limit of generated tokens, as is usual for this API. */
 const defaultMaxTokens = 256;
 
-/** Most tokens of one answer. */
+/** Maximum number of tokens in one response. */
 const maxMaxTokens = 1_000_000;
 
 const tokensSchema = z.int().min(1).max(maxMaxTokens).nullish();
@@ -23,13 +23,13 @@
 	n: z.literal(1, 'expected 1; send a request for each answer').nullish(),
 };
 
-/** A prompt alone, or the only one of a list. */
+/** A prompt, or a list with exactly one prompt. */
 const promptSchema = z.union([
 	z.string(),
 	z.tuple([z.string()]).transform(([prompt]) => prompt),
 ], 'expected a text or a list of one text');
 
-/** Text, the text parts of a message, or none, as in messages that only call tools. */
+/** A string, a list of text parts, or null as in messages that only call tools. */
 const contentSchema = z.union([
 	z.string(),
 	z.null().transform(() => ''),
@@ -43,18 +43,18 @@
 	chat: z.object({...commonShape, max_completion_tokens: tokensSchema, messages: z.array(chatMessageSchema).min(1)}),
 };
 
-/** The two shapes of the interface: completions of a text, and of a chat. */
+/** The two shapes of the API: text completions and chat completions. */
 export type Shape = keyof typeof bodySchemas;
 
-/** A completion as it was asked for. */
-export type CompletionOrder = {
+/** A validated completion request. */
+export type CompletionRequest = {
 	generation: GenerationRequest;
 	isStream: boolean;
-	/** Whether a stream tells its token count before it ends. */
+	/** Whether a stream reports its token count before it ends. */
 	hasUsage: boolean;
 };
 
-function createOrder(body: z.infer<typeof bodySchemas.text | typeof bodySchemas.chat>, input: Pick<GenerationRequest, 'prompt' | 'messages'>, maxTokens: number | undefined): CompletionOrder {
+function createCompletionRequest(body: z.infer<typeof bodySchemas.text | typeof bodySchemas.chat>, input: Pick<GenerationRequest, 'prompt' | 'messages'>, maxTokens: number | undefined): CompletionRequest {
 	return {
 		generation: {
 			model: body.model,
@@ -68,13 +68,13 @@
 	};
 }
 
-/** Each shape's body as a completion order. */
-export const orderSchemas = {
-	text: bodySchemas.text.transform(body => createOrder(body, {prompt: body.prompt}, body.max_tokens ?? undefined)),
-	chat: bodySchemas.chat.transform(body => createOrder(body, {messages: body.messages}, body.max_completion_tokens ?? body.max_tokens ?? undefined)),
+/** Schemas that parse the body of each shape into a completion request. */
+export const requestSchemas = {
+	text: bodySchemas.text.transform(body => createCompletionRequest(body, {prompt: body.prompt}, body.max_tokens ?? undefined)),
+	chat: bodySchemas.chat.transform(body => createCompletionRequest(body, {messages: body.messages}, body.max_completion_tokens ?? body.max_tokens ?? undefined)),
 } as const;
 
-/** Start of what the model reads, by which requests with cached text in common are recognised. */
+/** Returns the input of the model as text; requests that share a prefix of it can share cached state. */
 export function formatPrefix({prompt, messages}: GenerationRequest): string {
 	return prompt ?? (messages ?? []).map(({role, content}) => `${role}\n${content}`).join('\n');
 }
--- a/packages/entry/src/completions-layout.ts
+++ b/packages/entry/src/completions-layout.ts
@@ -1,5 +1,5 @@
 /**
- * How answers of each shape are laid out, as clients of model servers expect them.
+ * Formats the responses and stream chunks of each shape, as clients of model servers expect them.
  */
 import type {FinishReason, VersionSpan} from '@wasabiusher/shared';
 import type {Shape} from './completions-body.js';
@@ -7,17 +7,17 @@
 type Layout = {
 	object: string;
 	chunkObject: string;
-	/** JSON of a chunk's choice up to its text, which follows at once. */
+	/** JSON of a chunk's choice that precedes its text. */
 	deltaStart: string;
 	/** The same for the first chunk of a stream. */
 	firstDeltaStart: string;
-	/** JSON after the text. */
+	/** JSON that follows the text. */
 	deltaEnd: string;
 	createChoice(text: string): Record<string, unknown>;
 };
 
-/** An answer once it is whole. */
-export type WholeAnswer = {text: string; tokens: number; versions: VersionSpan[]; reason: FinishReason};
+/** A complete answer. */
+export type CompleteAnswer = {text: string; tokens: number; versions: VersionSpan[]; reason: FinishReason};
 
 const layouts: Readonly<Record<Shape, Layout>> = {
 	text: {
@@ -38,7 +38,7 @@
 	},
 };
 
-/** What all chunks of one answer have in common. */
+/** The fields that all chunks of one answer share. */
 export type AnswerIdentity = {
 	shape: Shape;
 	id: string;
@@ -47,8 +47,8 @@
 	created: number;
 };
 
-/** The body of a whole answer. */
-export function createWholeBody({shape, id, model, created}: AnswerIdentity, answer: WholeAnswer): Record<string, unknown> {
+/** Creates the response body of a complete answer. */
+export function createCompletionBody({shape, id, model, created}: AnswerIdentity, answer: CompleteAnswer): Record<string, unknown> {
 	const {object, createChoice} = layouts[shape];
 	const {text, tokens, versions, reason} = answer;
 	return {
@@ -56,7 +56,7 @@
 	};
 }
 
-/** Writes the chunks of one stream, its constant parts encoded once: encoding each whole costs most of an event. */
+/** Formats the chunks of one stream. The constant parts are encoded once, since encoding every chunk in full dominates the cost of an event. */
 export class ChunkWriter {
 	readonly #head: string;
 	readonly #layout: Layout;
@@ -69,12 +69,12 @@
 		}).slice(0, -1)},`;
 	}
 
-	/** A chunk of text and the versions that made its tokens. */
+	/** Formats a chunk of text with the weight versions that generated its tokens. */
 	formatText(text: string, versions: readonly VersionSpan[]): string {
 		return `${this.#head}"choices":[{"index":0,${this.#formatDelta(text)},"finish_reason":null}],"versions":${formatSpans(versions)}}`;
 	}
 
-	/** The last chunk of text, which has none. */
+	/** Formats the final chunk, which has an empty text and the finish reason. */
 	formatFinish(reason: FinishReason): string {
 		return `${this.#head}"choices":[{"index":0,${this.#formatDelta('')},"finish_reason":"${reason}"}]}`;
 	}
--- a/packages/entry/src/completions-listener.ts
+++ b/packages/entry/src/completions-listener.ts
@@ -1,5 +1,5 @@
 /**
- * What becomes of a completion's events: one whole answer, or a stream.
+ * Turns the events of a completion into a single response or a stream.
  */
 import type {ServerResponse} from 'node:http';
 import {sendJson} from '@wasabiusher/daemon';
@@ -7,14 +7,14 @@
 	appendSpan, type FinishReason, type GenerationPart, type Problem, type VersionSpan,
 } from '@wasabiusher/shared';
 import type {CallListener} from '@wasabiusher/systems';
-import {sendEvent, sendProblem, startEvents} from './answers.js';
-import {ChunkWriter, createWholeBody, type AnswerIdentity} from './completions-layout.js';
+import {sendEvent, sendProblem, startEventStream} from './answers.js';
+import {ChunkWriter, createCompletionBody, type AnswerIdentity} from './completions-layout.js';
 
-/** An engine that gives no reason has come to its own end. */
+/** Finish reason when the engine reports none: the model stopped by itself. */
 const defaultReason: FinishReason = 'stop';
 
-/** Collects an answer and sends it when it is whole. */
-export function createWholeListener(identity: AnswerIdentity, response: ServerResponse): CallListener {
+/** Collects an answer and sends it when it is complete. */
+export function createCollectingListener(identity: AnswerIdentity, response: ServerResponse): CallListener {
 	let text = '';
 	let versions: VersionSpan[] = [];
 	return {
@@ -25,7 +25,7 @@
 					versions = appendSpan(versions, part.version, part.tokens);
 				}
 			} else if (event.kind === 'finished') {
-				sendJson(response, 200, createWholeBody(identity, {
+				sendJson(response, 200, createCompletionBody(identity, {
 					text, versions, tokens: countTokens(versions), reason: event.reason ?? defaultReason,
 				}));
 			}
@@ -43,18 +43,18 @@
 
 export type StreamOptions = {
 	hasUsage: boolean;
-	/** The connection takes no more for now. */
-	onFull(): void;
+	/** Called when the write buffer of the connection is full. */
+	onBackpressure(): void;
 };
 
-/** Passes parts on as they come; the terminal event is sent only after a whole answer. */
-export function createStreamListener(identity: AnswerIdentity, response: ServerResponse, {hasUsage, onFull}: StreamOptions): CallListener {
+/** Streams parts as they arrive; sends the terminal event only after a complete answer. */
+export function createStreamListener(identity: AnswerIdentity, response: ServerResponse, {hasUsage, onBackpressure: onFull}: StreamOptions): CallListener {
 	const writer = new ChunkWriter(identity);
 	let tokens = 0;
 	return {
 		onEvent(event) {
 			if (!response.headersSent) {
-				startEvents(response);
+				startEventStream(response);
 			}
 
 			if (event.kind === 'parts') {
@@ -80,7 +80,7 @@
 	};
 }
 
-/** Once the status is sent, an event tells that the stream is not whole, and no terminal event follows. */
+/** Reports a failure. Once the headers are sent, it does so by an error event without a terminal event, so that the stream counts as incomplete. */
 function failStream(response: ServerResponse, problem: Problem): void {
 	if (response.headersSent) {
 		sendEvent(response, {...problem, error: {message: problem.detail, type: problem.kind}}, 'error');
@@ -94,7 +94,7 @@
 	return versions.at(-1)?.to ?? 0;
 }
 
-/** The text of parts, and their versions by the tokens' places in the whole answer. */
+/** Joins the text of parts, and their versions with token offsets from the start of the answer. */
 function joinParts(parts: readonly GenerationPart[], start: number): {text: string; versions: VersionSpan[]} {
 	const [only] = parts;
 	if (only && parts.length === 1) {
--- a/packages/entry/src/configuration-link.ts
+++ b/packages/entry/src/configuration-link.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration of an entry: reads and spreads it over the entry's links.
+ * Keeps the configuration of an entry current: reads it from the store and exchanges it with agents over the entry's links.
  */
 import type {Message} from '@wasabiusher/link';
 import {
@@ -7,10 +7,10 @@
 } from '@wasabiusher/systems';
 import type {AcceptedConfiguration} from '@wasabiusher/shared';
 
-/** How often the adopter looks for a change, in milliseconds. */
+/** How often the adopter checks for a change, in milliseconds. */
 const tickMs = 1000;
 
-/** Kinds of messages that are the adopter's. */
+/** Kinds of messages that the adopter handles. */
 const configurationKinds: ReadonlySet<Message['kind']> = new Set(['configuration', 'configuration-delta', 'digest']);
 
 export function isConfigurationMessage(message: Message): message is ConfigurationMessage {
@@ -18,11 +18,11 @@
 }
 
 export type ConfigurationLinkSettings = Omit<ConfigurationAdopterSettings, 'onAdopted'> & {
-	/** Sends to an agent by name; false if it has no link at present. */
+	/** Sends a message to an agent by name; returns false if there is no link to it. */
 	send(agent: string, message: Message): boolean;
 };
 
-/** Keeps the adopter running and sends what it has to say. */
+/** Runs the adopter periodically and sends its messages. */
 export class ConfigurationLink {
 	readonly #adopter: ConfigurationAdopter;
 	readonly #send: ConfigurationLinkSettings['send'];
@@ -33,7 +33,7 @@
 		this.#adopter = new ConfigurationAdopter({...settings, onAdopted: () => undefined});
 	}
 
-	/** What is in force. */
+	/** The configuration in force. */
 	get accepted(): AcceptedConfiguration {
 		return this.#adopter.accepted;
 	}
@@ -47,7 +47,7 @@
 		return this.#adopter.describe();
 	}
 
-	/** Resolves when the record was asked for the first time. */
+	/** Resolves after the first attempt to read the configuration. */
 	async start(): Promise<void> {
 		await this.#tick();
 		this.#timer = setInterval(() => {
@@ -59,7 +59,7 @@
 		clearInterval(this.#timer);
 	}
 
-	/** Puts a change in force that an operator made through this entry. */
+	/** Applies a change that an operator made through this entry. */
 	offer(accepted: AcceptedConfiguration): void {
 		this.#sendAll(this.#adopter.offer(accepted));
 	}
--- a/packages/entry/src/control.ts
+++ b/packages/entry/src/control.ts
@@ -1,15 +1,15 @@
 /**
- * The control that an entry takes part in: orders to the engines of each model service, by whoever holds its lease.
+ * Controls the engines of each model service: the entry that holds the lease of a service sends orders to its engines.
  *
- * One lease a service, not one a model: an engine compares all orders by one fencing number, so all that may
- * order it must draw theirs from one lease. Every entry tries for each lease; no host is set aside for control.
+ * There is one lease per service rather than per model: an engine compares all orders by a single fencing token, so all
+ * tokens for that engine must come from one lease. Entries compete for the leases; no host is dedicated to control.
  *
  * ```ts
  * const control = createControl({name, tables, weights, random, log, listEndpoints, send});
- * control.start();                    // once links may come up
- * control.onMessage(agent, message);  // each message from an agent; others than 'ordered' are ignored
+ * control.start();                    // when links can come up
+ * control.onMessage(agent, message);  // each message from an agent; kinds other than 'ordered' are ignored
  * control.describe();                 // rollouts, for `status`
- * await control.stop();               // gives the leases up
+ * await control.stop();               // releases the leases
  * ```
  */
 import type {EndpointStatus, Message} from '@wasabiusher/link';
@@ -21,38 +21,38 @@
 } from '@wasabiusher/systems';
 
 /**
- * Entries of a data centre that try for a lease; all of them would read its row every 2 s, which for 1,700 entries
- * are 850 reads a second a service. Three, as one may die and one lag.
+ * Number of entries per data centre that compete for a lease. If all 1,700 entries read its row every 2 s, a service
+ * would cause 850 reads per second. Three tolerate one dead and one lagging candidate.
  */
-export const candidates = 3;
+export const candidatesPerDataCentre = 3;
 
-/** How often each service is looked at, in milliseconds; answers to orders are followed at once. */
+/** Interval between checks of each service, in milliseconds; replies to orders are handled immediately. */
 const tickMs = 250;
 
-/** An endpoint in view, as the dispatcher's table has it. */
-export type ViewedEndpoint = {id: string; isUp: boolean; status?: EndpointStatus};
+/** An endpoint known to this entry, as in the dispatcher's table. */
+export type KnownEndpoint = {id: string; isUp: boolean; status?: EndpointStatus};
 
 export type ControlSettings = {
-	/** Name of this process, which holds the leases. */
+	/** Name of this process; the holder's name in the leases. */
 	name: string;
 	tables: TableService;
 	weights: WeightStore;
 	random: Random;
 	log: Log;
-	/** Names of the live entries of this data centre; without it this entry tries for each lease. */
+	/** Names of the live entries of this data centre; if absent, this entry competes for every lease. */
 	listEntries?(): readonly string[];
-	/** All endpoints in view. */
-	listEndpoints(): Iterable<ViewedEndpoint>;
-	/** Requests of a service's models that wait here; engines are moved between models only if this is given. */
+	/** All endpoints known to this entry. */
+	listEndpoints(): Iterable<KnownEndpoint>;
+	/** Requests queued here by model of a service; engines are moved between models only if this is given. */
 	listWaiting?(service: string): Iterable<ModelDemand>;
-	/** Sends to an agent by name; false if it has no link at present. */
+	/** Sends a message to an agent by name; returns false if there is no link to it. */
 	send(agent: string, message: Message): boolean;
 };
 
-/** What an entry starts, feeds and stops. */
+/** Control as seen by the entry. */
 export type Control = {
 	start(): void;
-	/** Gives no more orders and gives the leases up. */
+	/** Stops sending orders and releases the leases. */
 	stop(): Promise<void>;
 	onMessage(agent: string, message: Message): void;
 	/** Rollouts of the services whose lease this entry holds. */
@@ -61,7 +61,7 @@
 
 type Shard = {lease: LeaseHolder; rollout: WeightRollout; placement?: PlacementRunner};
 
-/** Creates the control of one entry. */
+/** Creates the control of an entry. */
 export function createControl(settings: ControlSettings): Control {
 	return new ShardedControl(settings);
 }
@@ -111,17 +111,17 @@
 		}
 
 		for (const [service, {lease, rollout, placement}] of this.#shards) {
-			this.#followCandidacy(service, lease);
+			this.#updateCandidacy(service, lease);
 			void rollout.tick();
 			placement?.tick();
 		}
 	}
 
-	/** A holder that is no longer a candidate goes on until it loses the lease, which would otherwise have to lapse. */
-	#followCandidacy(service: string, lease: LeaseHolder): void {
+	/** Competes for a lease while this entry is a candidate. A holder that is no longer a candidate keeps the lease, since successors would have to wait for it to expire. */
+	#updateCandidacy(service: string, lease: LeaseHolder): void {
 		const {name, listEntries} = this.#settings;
 		const entries = [...new Set([...listEntries?.() ?? [], name])];
-		const isCandidate = !listEntries || orderByRank(`orders/${service}`, entries).slice(0, candidates).includes(name);
+		const isCandidate = !listEntries || orderByRank(`orders/${service}`, entries).slice(0, candidatesPerDataCentre).includes(name);
 		if (isCandidate || lease.holds()) {
 			lease.start();
 		} else {
@@ -129,7 +129,7 @@
 		}
 	}
 
-	/** Services whose endpoints hold models; plain ones take no orders. */
+	/** Services whose endpoints serve models; endpoints of plain services accept no orders. */
 	#listModelServices(): Set<string> {
 		const services = new Set<string>();
 		for (const {status} of this.#settings.listEndpoints()) {
@@ -151,7 +151,7 @@
 			weights,
 			lease,
 			log,
-			// Two orders about one engine would cross.
+			// Excludes engines that are being moved: concurrent orders to one engine would conflict.
 			listEndpoints: () => this.#listEndpointsOf(service).filter(({agent}) => !placement?.isMoving(agent)),
 			send,
 		});
--- a/packages/entry/src/drain-notice.ts
+++ b/packages/entry/src/drain-notice.ts
@@ -1,32 +1,32 @@
 /**
- * Time for a balancer to see that this process is leaving before it stops listening.
+ * Delays the shutdown until load balancers have noticed that this process is leaving.
  *
- * Without it, connections that the balancer opens until its next check are refused.
+ * Without the delay, connections that a load balancer opens before its next health check are refused.
  */
 
-/** Length of the notice, in milliseconds: balancers usually check every second or two and act on the second failure. */
+/** Length of the delay, in milliseconds: load balancers usually check every 1 to 2 s and act on the second failure. */
 const noticeMs = 5000;
 
-/** A last check within this time, in milliseconds, and checks over at least this time, are those of a balancer. */
-const watchedMs = 30_000;
-const regularMs = 5000;
+/** Checks count as a load balancer's if the last one is at most this old and the first and last are at least `minCheckSpanMs` apart; both in milliseconds. */
+const recentCheckWindowMs = 30_000;
+const minCheckSpanMs = 5000;
 
-/** Remembers the checks of `/readyz`. */
+/** Tracks the health checks of `/readyz`. */
 export class DrainNotice {
 	#firstCheckAt: number | undefined;
 	#lastCheckAt = Number.NEGATIVE_INFINITY;
 
-	/** Someone has asked whether new work should come here. */
+	/** Records a readiness check. */
 	recordCheck(): void {
 		const now = performance.now();
-		// Checks that stopped for long begin anew.
-		this.#firstCheckAt = now - this.#lastCheckAt > watchedMs ? now : this.#firstCheckAt ?? now;
+		// A long pause between checks starts a new series.
+		this.#firstCheckAt = now - this.#lastCheckAt > recentCheckWindowMs ? now : this.#firstCheckAt ?? now;
 		this.#lastCheckAt = now;
 	}
 
-	/** Resolves when new connections may be refused: at once if nobody checks regularly. */
-	async give(): Promise<void> {
-		if (!this.#isWatched()) {
+	/** Resolves when new connections may be refused: immediately if there are no regular checks. */
+	async waitForBalancer(): Promise<void> {
+		if (!this.#isCheckedRegularly()) {
 			return;
 		}
 
@@ -35,8 +35,8 @@
 		});
 	}
 
-	#isWatched(): boolean {
-		return performance.now() - this.#lastCheckAt <= watchedMs
-			&& this.#lastCheckAt - (this.#firstCheckAt ?? this.#lastCheckAt) >= regularMs;
+	#isCheckedRegularly(): boolean {
+		return performance.now() - this.#lastCheckAt <= recentCheckWindowMs
+			&& this.#lastCheckAt - (this.#firstCheckAt ?? this.#lastCheckAt) >= minCheckSpanMs;
 	}
 }
--- a/packages/entry/src/entry-peers.ts
+++ b/packages/entry/src/entry-peers.ts
@@ -1,7 +1,7 @@
 /**
- * Links between entries: each entry keeps one to the entries that gather its claims, and gatherers accept them.
+ * Links between entries: each entry connects to its gatherers, the entries that commit claims for others.
  *
- * They stand on the callers' address, and open only to who proves a link key.
+ * Gatherers accept the links on the callers' address; a peer must prove that it has a link key.
  */
 import type {Server} from 'node:http';
 import {
@@ -10,7 +10,7 @@
 import type {Member} from '@wasabiusher/backends';
 import type {Log, Random} from '@wasabiusher/shared';
 
-/** Messages between entries; all others are dropped. */
+/** Messages exchanged between entries; other kinds are ignored. */
 export type PeerMessage = MessageOf<'commit' | 'committed'>;
 
 const peerKinds: ReadonlySet<Message['kind']> = new Set(['commit', 'committed']);
@@ -27,16 +27,16 @@
 	onDown(entry: string): void;
 };
 
-type Dialled = {address: string; client: LinkClient};
+type OutgoingLink = {address: string; client: LinkClient};
 
-/** Links to and from other entries, by name. */
+/** Outgoing and accepted links by name of the other entry. */
 export class EntryPeers {
 	readonly #settings: EntryPeersSettings;
-	readonly #dialled = new Map<string, Dialled>();
+	readonly #outgoing = new Map<string, OutgoingLink>();
 	readonly #accepted = new Map<string, Link>();
 	readonly #server: LinkServer;
 
-	/** @param server - where links of other entries are accepted */
+	/** @param server - accepts links from other entries */
 	constructor(server: Server, settings: EntryPeersSettings) {
 		this.#settings = settings;
 		const {identity, log} = settings;
@@ -49,31 +49,31 @@
 		});
 	}
 
-	/** Whether all links that are wanted are up. */
+	/** Whether all outgoing links are up. */
 	get isLinked(): boolean {
-		return [...this.#dialled.values()].every(({client}) => client.isUp);
+		return [...this.#outgoing.values()].every(({client}) => client.isUp);
 	}
 
-	/** Keeps links to the entries named, and to no others. */
+	/** Opens links to the named entries and closes all others. */
 	follow(names: readonly string[], members: readonly Member[]): void {
 		const wanted = members.filter(({id, role}) => role === 'entry' && names.includes(id) && id !== this.#settings.identity.name);
 		for (const {id, address} of wanted) {
 			this.#dial(id, address);
 		}
 
-		for (const [id, {client}] of this.#dialled) {
+		for (const [id, {client}] of this.#outgoing) {
 			if (!wanted.some(member => member.id === id)) {
 				client.close();
-				this.#dialled.delete(id);
+				this.#outgoing.delete(id);
 				this.#settings.onDown(id);
 			}
 		}
 	}
 
-	/** False if there is no link at present, or the message can't be sent on it. */
+	/** Sends a message to an entry; returns false if there is no link or the message cannot be sent on it. */
 	send(entry: string, message: Message): boolean {
 		try {
-			if (this.#dialled.get(entry)?.client.send(message)) {
+			if (this.#outgoing.get(entry)?.client.send(message)) {
 				return true;
 			}
 
@@ -90,14 +90,14 @@
 		}
 	}
 
-	/** Accepts no more, and ends what was accepted once all answers under way have arrived. */
+	/** Accepts no new links, and ends the accepted ones once all replies in flight have arrived. */
 	async endAccepted(): Promise<void> {
 		await this.#server.end();
 	}
 
 	stop(): void {
 		this.#server.close();
-		for (const {client} of this.#dialled.values()) {
+		for (const {client} of this.#outgoing.values()) {
 			client.close();
 		}
 	}
@@ -118,21 +118,21 @@
 	}
 
 	#dial(entry: string, address: string): void {
-		const known = this.#dialled.get(entry);
+		const known = this.#outgoing.get(entry);
 		if (known?.address === address) {
 			return;
 		}
 
 		known?.client.close();
 		const {identity, random, onDown} = this.#settings;
-		this.#dialled.set(entry, {
+		this.#outgoing.set(entry, {
 			address,
 			client: new LinkClient({
 				address,
 				identity,
 				random,
 				onUp() {
-					// Rows go there from the next one on.
+					// Nothing to do: the next commit uses the link.
 				},
 				onDown() {
 					onDown(entry);
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -1,5 +1,5 @@
 /**
- * The entry: wires routes, the view of endpoints, the dispatcher and the configuration together.
+ * The entry process: connects the routes, the links to agents, the dispatcher and the configuration.
  */
 import {Registry, collectDefaultMetrics} from 'prom-client';
 import {addOperationRoutes, HttpServer, type Daemon} from '@wasabiusher/daemon';
@@ -21,28 +21,28 @@
 import {DrainNotice} from './drain-notice.js';
 import {EntryMetrics} from './metrics.js';
 import {addOperatorRoutes} from './operator-routes.js';
-import {listUnguarded, type EntrySettings} from './settings.js';
+import {listMissingSecrets, type EntrySettings} from './settings.js';
 import {describeStatus, type EntryStatus} from './status.js';
 import {addStepRoutes} from './step-routes.js';
-import {View} from './view.js';
+import {AgentLinks} from './agent-links.js';
 
 /**
- * Longest wait of a drain for the samples under way, in milliseconds: most rollouts end within
- * it. Longer ones are drawn again by the entry that goes on with the step, and none is lost.
+ * Maximum wait of a drain for samples in progress, in milliseconds; most rollouts end within it.
+ * The entry that resumes the step generates the remaining samples again, so none is lost.
  */
 const stepGraceMs = 30_000;
 
-/** Key used while none is set; such a process listens on loopback only. */
+/** Link key used if none is set; such a process listens on loopback only. */
 const loopbackKey = 'loopback';
 
-/** One entry. */
+/** An entry process. */
 export class Entry implements Daemon {
 	readonly #settings: EntrySettings;
 	readonly #log: Log;
 	readonly #callers = new HttpServer(answerError);
 	readonly #operators = new HttpServer(answerError);
 	readonly #registry = new Registry();
-	readonly #notice = new DrainNotice();
+	readonly #drainNotice = new DrainNotice();
 	readonly #platform: Platform;
 	readonly #history: ConfigurationHistory;
 	readonly #invariants: Invariants;
@@ -50,7 +50,7 @@
 	readonly #dispatcher: Dispatcher;
 	readonly #claims: Claims;
 	readonly #steps: StepRunner;
-	readonly #view: View;
+	readonly #agentLinks: AgentLinks;
 	readonly #configuration: ConfigurationLink;
 	readonly #announcer: Announcer;
 	readonly #objectives: ObjectiveMetrics;
@@ -69,22 +69,22 @@
 		this.#claims = this.#createClaims();
 		this.#objectives = new ObjectiveMetrics(this.#registry, () => this.#configuration.accepted.configuration.profiles);
 		this.#steps = this.#createStepRunner();
-		this.#view = this.#createView();
-		this.#configuration = this.#createConfiguration();
+		this.#agentLinks = this.#createAgentLinks();
+		this.#configuration = this.#createConfigurationLink();
 		this.#announcer = new Announcer(this.#platform.members, log, () => this.#createMember());
 		this.#control = this.#createControl();
 		collectDefaultMetrics({register: this.#registry});
 		this.#addRoutes();
 	}
 
-	/** `ip:port` in use, once started. */
+	/** Listening addresses as `ip:port`; empty before `start` resolves. */
 	get addresses(): {callers: string; operators: string} {
 		return this.#addresses;
 	}
 
 	async start(): Promise<void> {
 		await this.#configuration.start();
-		await this.#view.start();
+		await this.#agentLinks.start();
 		this.#addresses = {
 			callers: await this.#callers.listen(this.#settings.listen),
 			operators: await this.#operators.listen(this.#settings.operatorListen),
@@ -92,18 +92,18 @@
 		await this.#announcer.start();
 		this.#control.start();
 		this.#log.info('entry_started', {...this.#addresses});
-		for (const secret of listUnguarded(this.#settings)) {
+		for (const secret of listMissingSecrets(this.#settings)) {
 			this.#log.warn('loopback_only', {unset: secret});
 		}
 	}
 
-	/** Takes no new work; resolves when all that was taken has ended. */
+	/** Accepts no new work; resolves when all accepted work has ended. */
 	async drain(): Promise<void> {
 		this.#isLeaving = true;
 		void this.#announcer.announce();
 		const released = this.#control.stop();
-		await this.#notice.give();
-		await this.#claims.endGathering();
+		await this.#drainNotice.waitForBalancer();
+		await this.#claims.stopGathering();
 		const handedOver = this.#steps.drain(stepGraceMs);
 		await this.#closeCallers();
 		await handedOver;
@@ -113,7 +113,7 @@
 		this.#configuration.stop();
 		this.#announcer.stop();
 		await this.#operators.close();
-		this.#view.stop();
+		this.#agentLinks.stop();
 	}
 
 	get #identity(): Identity {
@@ -131,9 +131,9 @@
 			random: new Random(hashToNumber(name)),
 			dataCentre,
 			invariants: this.#invariants,
-			send: (agent, message) => this.#view.send(agent, message),
+			send: (agent, message) => this.#agentLinks.send(agent, message),
 			broadcast: (message, except) => {
-				this.#view.broadcast(message, except);
+				this.#agentLinks.broadcast(message, except);
 			},
 			onEnded: record => {
 				this.#record(record);
@@ -143,7 +143,7 @@
 
 	#record(record: CallRecord): void {
 		this.#metrics.recordCall(record);
-		// A caller that went away had its answer neither in time nor late.
+		// A call that its caller cancelled is neither in time nor late.
 		if (record.outcome !== 'cancelled') {
 			this.#objectives.record(record.call.profileName, 'answeredInTime', record.outcome === 'answered');
 		}
@@ -158,9 +158,9 @@
 			weights,
 			random: new Random(hashToNumber(`${name}/control`)),
 			log: this.#log,
-			listEntries: () => this.#view.entries,
+			listEntries: () => this.#agentLinks.entries,
 			listEndpoints: () => this.#dispatcher.endpoints,
-			send: (agent, message) => this.#view.send(agent, message),
+			send: (agent, message) => this.#agentLinks.send(agent, message),
 		});
 	}
 
@@ -174,13 +174,13 @@
 			dispatcher: this.#dispatcher,
 			invariants: this.#invariants,
 			log: this.#log,
-			listEntries: () => this.#view.entries,
+			listEntries: () => this.#agentLinks.entries,
 		});
 	}
 
-	#createView(): View {
+	#createAgentLinks(): AgentLinks {
 		const {name, dataCentre, region} = this.#settings;
-		return new View({
+		return new AgentLinks({
 			identity: this.#identity,
 			dataCentre,
 			region,
@@ -204,7 +204,7 @@
 		});
 	}
 
-	#createConfiguration(): ConfigurationLink {
+	#createConfigurationLink(): ConfigurationLink {
 		const {name, dataCentre} = this.#settings;
 		return new ConfigurationLink({
 			name,
@@ -212,15 +212,15 @@
 			log: this.#log,
 			random: new Random(hashToNumber(`${name}/configuration`)),
 			invariants: this.#invariants,
-			reader: {history: this.#history, listEntries: () => [...this.#view.entries]},
-			send: (agent, message) => this.#view.send(agent, message),
+			reader: {history: this.#history, listEntries: () => [...this.#agentLinks.entries]},
+			send: (agent, message) => this.#agentLinks.send(agent, message),
 		});
 	}
 
 	#addRoutes(): void {
 		const configuration = (): Configuration => this.#configuration.accepted.configuration;
 		addOperationRoutes(this.#callers, this.#registry, () => {
-			this.#notice.recordCheck();
+			this.#drainNotice.recordCheck();
 			return this.#isReady;
 		});
 		addOperationRoutes(this.#operators, this.#registry, () => this.#isReady);
@@ -238,7 +238,7 @@
 		addUnknownRoute(this.#operators);
 	}
 
-	/** A call with a key that must run at most once is claimed first; all others go straight on. */
+	/** Claims calls with an idempotency key whose profile is not idempotent, since they must run at most once; dispatches all others directly. */
 	#createSubmit(): CallerRoutes['submit'] {
 		return (call, listener, key) => key === undefined || call.profile.idempotent
 			? this.#dispatcher.submit(call, listener)
@@ -273,7 +273,7 @@
 		}
 	}
 
-	/** Ends when the last caller has its answer, or at the limit that the settings give. */
+	/** Resolves when the last caller has its answer, or at the drain limit of the settings. */
 	async #closeCallers(): Promise<void> {
 		const {drainLimitMs} = this.#settings;
 		const timer = drainLimitMs === undefined
@@ -294,7 +294,7 @@
 	}
 
 	#readState() {
-		const {up, all} = this.#view.counts;
+		const {up, all} = this.#agentLinks.counts;
 		return {
 			openCalls: this.#dispatcher.openCalls + this.#claims.openCalls,
 			draining: this.#dispatcher.drainingAttempts,
--- a/packages/entry/src/errors.ts
+++ b/packages/entry/src/errors.ts
@@ -1,18 +1,18 @@
 /**
- * Problems thrown by routes, answered as `application/problem+json`.
+ * Errors thrown by routes; the response is an `application/problem+json` document.
  */
 import {
 	createProblem, LayerError, type Problem, type ProblemKind,
 } from '@wasabiusher/shared';
 import type {z} from 'zod';
 
-/** One thing wrong with a document, and where. */
-export type Finding = {path: Array<string | number>; message: string};
+/** One validation error of a document and its path. */
+export type ValidationIssue = {path: Array<string | number>; message: string};
 
-/** Members of an answer beside those that every problem has. */
-export type ProblemDetails = {[member: string]: unknown; problems?: Finding[]};
+/** Additional members of a problem document. */
+export type ProblemDetails = {[member: string]: unknown; problems?: ValidationIssue[]};
 
-/** Carries the problem to be answered. */
+/** Carries the problem that is sent as the response. */
 export class ProblemError extends LayerError<ProblemKind> {
 	override readonly name = 'ProblemError';
 	readonly problem: Problem;
@@ -25,26 +25,26 @@
 	}
 }
 
-/** Refuses a request that is not valid; nothing has run. */
-export function refuseRequest(detail: string): never {
+/** Throws a `bad-request` problem; the request has not run. */
+export function rejectRequest(detail: string): never {
 	throw new ProblemError(createProblem('bad-request', detail, 'no'));
 }
 
-/** Lists all that a schema has found. */
-export function listFindings(error: z.ZodError): Finding[] {
+/** Lists all issues that a schema reported. */
+export function listIssues(error: z.ZodError): ValidationIssue[] {
 	return error.issues.map(({path, message}) => ({
 		path: path.map(part => typeof part === 'symbol' ? String(part) : part), message,
 	}));
 }
 
-/** Checks a body; throws `ProblemError` that names each bad field. */
+/** Validates a body; throws a `ProblemError` that names each invalid field. */
 export function parseBody<Schema extends z.ZodType>(schema: Schema, value: unknown): z.infer<Schema> {
 	const parsed = schema.safeParse(value);
 	if (parsed.success) {
 		return parsed.data;
 	}
 
-	const problems = listFindings(parsed.error);
+	const problems = listIssues(parsed.error);
 	const detail = problems.map(({path, message}) => path.length === 0 ? message : `field ${path.join('.')}: ${message}`).join('; ');
 	throw new ProblemError(createProblem('bad-request', detail, 'no'), {problems});
 }
--- a/packages/entry/src/forwarding.ts
+++ b/packages/entry/src/forwarding.ts
@@ -1,5 +1,5 @@
 /**
- * `/<service>/…`, forwarded to plain services with method, path, query, headers, body and status kept.
+ * Forwards `/<service>/…` to plain services, preserving method, path, query, headers, body and status.
  */
 import {randomUUID} from 'node:crypto';
 import type {ServerResponse} from 'node:http';
@@ -12,10 +12,10 @@
 import type {CallerRoutes} from './caller-routes.js';
 import {ProblemError} from './errors.js';
 
-/** Work of a plain call, for shares: all count alike. */
+/** Cost of a plain call in fair queueing; all plain calls count the same. */
 const plainCost = 1;
 
-/** Handles one exchange whose path begins with the name of a plain service. */
+/** Handles one request whose path starts with the name of a plain service. */
 export async function handleForward({request, response, parameters}: Exchange, {submit, configuration}: CallerRoutes): Promise<void> {
 	const service = parameters.service!;
 	const {services} = configuration();
@@ -25,7 +25,7 @@
 
 	const {profileName, profile, caller, deadlineAt, idempotencyKey} = readCallHeaders(request, configuration());
 	const body = await readBytes(request);
-	const path = cutService(request.url!, service);
+	const path = stripService(request.url!, service);
 	const method = request.method!;
 	const runs: Run[] = [];
 	const listener = createForwardListener(response, () => {
@@ -48,13 +48,13 @@
 	bindRun(response, run);
 }
 
-/** The path and query behind the service's name. */
-function cutService(url: string, service: string): string {
+/** Returns the path and query without the leading service name. */
+function stripService(url: string, service: string): string {
 	const rest = url.slice(service.length + 1);
 	return rest.startsWith('/') ? rest : `/${rest}`;
 }
 
-function createForwardListener(response: ServerResponse, onFull: () => void): CallListener {
+function createForwardListener(response: ServerResponse, onBackpressure: () => void): CallListener {
 	return {
 		onEvent(event) {
 			if (event.kind === 'head') {
@@ -63,7 +63,7 @@
 			}
 
 			if (event.kind === 'body' && !response.write(event.chunk)) {
-				onFull();
+				onBackpressure();
 			}
 
 			if (event.kind === 'finished') {
@@ -73,7 +73,7 @@
 		onRestart: () => !response.headersSent,
 		onFailed(problem) {
 			if (response.headersSent) {
-				// The end of the body is missing, and only a cut connection says so.
+				// Destroying the connection is the only way left to tell the caller that the body is truncated.
 				response.destroy();
 			} else {
 				sendProblem(response, problem);
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,6 +1,6 @@
-/** The entry: what callers, trainers and operators talk to. */
+/** The entry: serves callers, trainers and operators. */
 export * from './entry.js';
 export * from './settings.js';
-export {candidates as controlCandidates} from './control.js';
-export {msPerMember} from './view.js';
-export {farDataCentres, farDegree} from './view-subset.js';
+export {candidatesPerDataCentre as controlCandidates} from './control.js';
+export {msPerMember} from './agent-links.js';
+export {farDataCentres, farDegree} from './agent-subset.js';
--- a/packages/entry/src/main.ts
+++ b/packages/entry/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher-entry`: one process on each entry host.
+ * The `wasabiusher-entry` daemon: one process per entry host.
  */
 import {loadSettings, runDaemon} from '@wasabiusher/daemon';
 import {Log} from '@wasabiusher/shared';
--- a/packages/entry/src/metrics.ts
+++ b/packages/entry/src/metrics.ts
@@ -1,15 +1,15 @@
 /**
- * The entry's metrics, by the conventions of Prometheus: seconds, `_total`, few labels.
+ * Metrics of the entry, named by the conventions of Prometheus: seconds, `_total`, few labels.
  */
 import {
 	Counter, Gauge, Histogram, type Registry,
 } from 'prom-client';
 import type {CallRecord, Progress} from '@wasabiusher/systems';
 
-/** Bounds in seconds, from a plain call within a data centre to a long rollout. */
+/** Upper bounds in seconds, from a plain call within a data centre to a long rollout. */
 const durationBuckets = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 180];
 
-/** State read at a scrape. */
+/** State that is read at each scrape. */
 export type EntryState = {
 	openCalls: number;
 	draining: number;
@@ -19,10 +19,10 @@
 	isReady: boolean;
 };
 
-/** Names of the phases in which a call may fail, by what its caller had by then. */
+/** Label values for the phase in which a call failed, by what its caller had received. */
 const phases: Readonly<Record<Progress, string>> = {nothing: 'before_headers', head: 'before_content', content: 'after_content'};
 
-/** Counts, times and gauges of one entry. */
+/** Counters, histograms and gauges of one entry. */
 export class EntryMetrics {
 	readonly #calls: Counter<'profile' | 'outcome'>;
 	readonly #refusals: Counter<'profile' | 'reason'>;
@@ -33,7 +33,7 @@
 	readonly #durationSeconds: Histogram<'profile' | 'outcome'>;
 	readonly #linkLosses: Counter;
 
-	/** @param read - the state at the time of a scrape */
+	/** @param read - returns the state at the time of a scrape */
 	constructor(registry: Registry, read: () => EntryState) {
 		const registers = [registry];
 		this.#calls = new Counter({
@@ -84,7 +84,7 @@
 	}
 }
 
-/** Each gauge: its name, its help and how it is read. */
+/** Name, help text and reader of each gauge. */
 const gauges: ReadonlyArray<{name: string; help: string; read(state: EntryState): number}> = [
 	{name: 'wasabiusher_open_calls', help: 'Calls that have not ended', read: ({openCalls}) => openCalls},
 	{name: 'wasabiusher_draining_attempts', help: 'Cancelled work whose stop is not confirmed yet', read: ({draining}) => draining},
@@ -96,7 +96,7 @@
 
 function addGauges(registry: Registry, read: () => EntryState): void {
 	for (const {name, help, read: pick} of gauges) {
-		// The registry keeps it.
+		// The registry holds the reference.
 		// eslint-disable-next-line no-new
 		new Gauge({
 			name,
--- a/packages/entry/src/operator-routes.ts
+++ b/packages/entry/src/operator-routes.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' interface, on an address of its own.
+ * HTTP routes for operators, served on a separate address.
  */
 import {z} from 'zod';
 import {
@@ -43,7 +43,7 @@
 	}));
 	server.on('get', '/v1/configuration/history', guard(async ({response, query}) => {
 		const {limit} = parseBody(historySchema, Object.fromEntries(query));
-		sendJson(response, 200, await turnErrors(async () => history.list(limit)));
+		sendJson(response, 200, await translateErrors(async () => history.list(limit)));
 	}));
 	server.on('get', '/v1/status', guard(({response}) => {
 		sendJson(response, 200, status());
@@ -53,16 +53,16 @@
 async function applyChange({request, response}: Exchange, {history, adopt}: OperatorRoutes): Promise<void> {
 	const change = parseBody(changeSchema, await readJson(request));
 	try {
-		const accepted = await turnErrors(async () => history.append({...change, acceptedAt: Date.now()}));
+		const accepted = await translateErrors(async () => history.append({...change, acceptedAt: Date.now()}));
 		adopt(accepted);
 		sendJson(response, 200, accepted);
 	} catch (error) {
-		throw await showOther(error, history);
+		throw await addCurrentConfiguration(error, history);
 	}
 }
 
-/** A conflict shows what the other operator has put in force. */
-async function showOther(error: unknown, history: OperatorRoutes['history']): Promise<unknown> {
+/** Adds the configuration in force to a conflict, so that the operator sees the other change. Returns other errors unchanged. */
+async function addCurrentConfiguration(error: unknown, history: OperatorRoutes['history']): Promise<unknown> {
 	if (!(error instanceof ProblemError) || error.code !== 'conflict') {
 		return error;
 	}
@@ -70,17 +70,17 @@
 	try {
 		return new ProblemError(error.problem, {current: await history.readHead()});
 	} catch {
-		// The conflict stands; that the other change can't be shown does not alter it.
+		// The conflict is reported even if the configuration in force cannot be read.
 		return error;
 	}
 }
 
 const recordKinds: Readonly<Partial<Record<RecordErrorCode, ProblemKind>>> = {conflict: 'conflict', unavailable: 'unavailable'};
 
-/** When an operator should try again while the store is down, in milliseconds. */
+/** Retry delay suggested to operators while the store is unavailable, in milliseconds. */
 const storeRetryMs = 2000;
 
-async function turnErrors<Value>(read: () => Promise<Value>): Promise<Value> {
+async function translateErrors<Value>(read: () => Promise<Value>): Promise<Value> {
 	try {
 		return await read();
 	} catch (error) {
--- a/packages/entry/src/settings.ts
+++ b/packages/entry/src/settings.ts
@@ -24,27 +24,27 @@
 
 type SecretRule = {secret: 'linkKeys' | 'trainerTokens' | 'operatorTokens'; address: 'listen' | 'operatorListen'; flag: string};
 
-/** An address that others can reach demands the secret that guards it. */
+/** An address that is not loopback requires the secret that protects it. */
 const secretRules: readonly SecretRule[] = [
 	{secret: 'linkKeys', address: 'listen', flag: '--listen'},
 	{secret: 'trainerTokens', address: 'listen', flag: '--listen'},
 	{secret: 'operatorTokens', address: 'operatorListen', flag: '--operator-listen'},
 ];
 
-/** Rules that the fields break. */
-function listBroken(fields: Fields): SecretRule[] {
+/** Returns the rules that the fields violate. */
+function listBrokenRules(fields: Fields): SecretRule[] {
 	return secretRules.filter(({secret, address}) => fields[secret].length === 0 && !isLoopback(fields[address]));
 }
 
 export const entrySettingsSchema = fieldsSchema.superRefine((fields, context) => {
-	for (const {secret, flag} of listBroken(fields)) {
+	for (const {secret, flag} of listBrokenRules(fields)) {
 		context.addIssue({code: 'custom', path: [secret], message: `required unless ${flag} is a loopback address`});
 	}
 });
 
 export type EntrySettings = Fields;
 
-/** Names of the secrets that are not set; their routes answer anyone on this machine. */
-export function listUnguarded(settings: EntrySettings): string[] {
+/** Returns the names of the secrets that are not set; the routes that they protect accept any request from this machine. */
+export function listMissingSecrets(settings: EntrySettings): string[] {
 	return secretRules.filter(({secret}) => settings[secret].length === 0).map(({secret}) => secret);
 }
--- a/packages/entry/src/status.ts
+++ b/packages/entry/src/status.ts
@@ -1,15 +1,15 @@
 /**
- * What an entry tells operators of itself and of the agents in its view.
+ * Builds the status that an entry reports to operators, covering itself and the agents that it links to.
  */
 import type {AcceptedConfiguration} from '@wasabiusher/shared';
 import type {EndpointRow, QuarantineStatus} from '@wasabiusher/systems';
 
-/** A process and the version of the configuration in force there. */
+/** A process and the configuration version in force there. */
 type ProcessStatus = {
 	name: string;
 	dataCentre: string;
 	configurationVersion: number;
-	/** Behind the newest version that this entry knows. */
+	/** Whether it runs an older version than the newest that this entry knows. */
 	isLagging: boolean;
 	isLeaving: boolean;
 };
@@ -23,42 +23,42 @@
 	limit: number;
 	running: number;
 	waiting: number;
-	/** Cancelled work of this entry whose stop is not confirmed yet. */
+	/** Number of cancelled attempts of this entry whose stop is not confirmed yet. */
 	draining: number;
 };
 
 export type EntryStatus = {
-	/** The newest configuration known, without its content. */
+	/** Metadata of the newest known configuration. */
 	configuration: Pick<AcceptedConfiguration, 'version' | 'acceptedAt' | 'author'> & {
-		/** Undefined if this entry is not among the readers; without the store no change is accepted. */
+		/** Undefined if this entry does not read the store itself. While the store is unreachable, no change is accepted. */
 		isStoreReachable?: boolean;
 	};
-	/** The one that answers; the command line asks several and joins them. */
+	/** Contains only the responding entry; the command line queries several entries and merges the results. */
 	entries: Array<ProcessStatus & {openCalls: number}>;
 	agents: AgentStatus[];
-	/** Names of the processes that are behind. */
+	/** Names of the processes that run an older configuration. */
 	lagging: string[];
-	/** Requests that are not run at present, since they have crashed endpoints. */
+	/** Requests that are currently not run because they have crashed endpoints. */
 	quarantine: Array<{fingerprint: string; crashes: string[]; untilMs: number}>;
-	/** Weight rollouts under way or stuck, as control describes them. */
+	/** Weight rollouts in progress or stuck, as `Control.describe` returns them. */
 	rollouts: unknown[];
 };
 
-type DescribedRow = Pick<EndpointRow, 'id' | 'dataCentre' | 'isUp' | 'draining' | 'status'>;
+type DescribedEndpoint = Pick<EndpointRow, 'id' | 'dataCentre' | 'isUp' | 'draining' | 'status'>;
 
-export type StatusParts = {
+export type StatusInput = {
 	name: string;
 	dataCentre: string;
 	isLeaving: boolean;
 	openCalls: number;
 	accepted: AcceptedConfiguration;
 	isStoreReachable?: boolean;
-	endpoints: Iterable<DescribedRow>;
+	endpoints: Iterable<DescribedEndpoint>;
 	quarantine: QuarantineStatus[];
 	rollouts: unknown[];
 };
 
-function describeAgent({id, dataCentre, isUp, draining, status}: DescribedRow, newest: number): AgentStatus {
+function describeAgent({id, dataCentre, isUp, draining, status}: DescribedEndpoint, newest: number): AgentStatus {
 	const configurationVersion = status?.configurationVersion ?? 0;
 	return {
 		name: id,
@@ -78,8 +78,8 @@
 	};
 }
 
-/** Builds the status; rows and names in order of name, so that two answers can be compared. */
-export function describeStatus(parts: StatusParts): EntryStatus {
+/** Builds the status. Agents are sorted by name, so that two responses can be compared. */
+export function describeStatus(parts: StatusInput): EntryStatus {
 	const {name, dataCentre, isLeaving, openCalls, accepted, isStoreReachable, quarantine, rollouts} = parts;
 	const {version, acceptedAt, author} = accepted;
 	const agents = [...parts.endpoints]
@@ -94,7 +94,7 @@
 		}],
 		agents,
 		lagging: agents.filter(({isLagging}) => isLagging).map(agent => agent.name),
-		// Milliseconds since the epoch, for people's clocks.
+		// Converted to wall-clock time, in milliseconds since the epoch.
 		quarantine: quarantine.map(({fingerprint, crashes, remainingMs}) => ({fingerprint, crashes, untilMs: Date.now() + remainingMs})),
 		rollouts,
 	};
--- a/packages/entry/src/step-relay.ts
+++ b/packages/entry/src/step-relay.ts
@@ -1,40 +1,40 @@
 /**
- * Passing a trainer's exchange on to the entry that runs its step.
+ * Relays a trainer's request to the entry that runs its step.
  *
- * The balancer sends each connection of a trainer to any entry, so acknowledgements and reconnects arrive
- * where the step is not run.
+ * The load balancer sends each connection of a trainer to any entry, so acknowledgements and reconnects can
+ * arrive at an entry that does not run the step.
  */
 import {once} from 'node:events';
 import type {ServerResponse} from 'node:http';
 import {Agent, request, type Dispatcher} from 'undici';
 import type {Exchange} from '@wasabiusher/daemon';
 
-/** Marks an exchange that was passed on once; it is not passed on again. */
+/** Marks a relayed request, which is not relayed a second time. */
 const relayedHeader = 'wasabiusher-relayed';
 
-/** Longest wait for a connection, in milliseconds; a host that is gone answers nothing. */
+/** Connection timeout, in milliseconds; a dead host does not respond at all. */
 const connectTimeoutMs = 1000;
 
 const connections = new Agent({connect: {timeout: connectTimeoutMs}});
 
-/** Longest wait for the other entry's first answer, in milliseconds; it answers a pull before there are samples. */
+/** Timeout for the response headers, in milliseconds; the other entry sends them before samples are available. */
 const headersTimeoutMs = 3000;
 
-/** Longest silence of its stream, in milliseconds; it writes a line each `keepAliveMs`. */
+/** Timeout between two chunks of the body, in milliseconds; the other entry writes at least every `keepAliveMs`. */
 const bodyTimeoutMs = 15_000;
 
-/** How often a stream without samples shows that it is alive, in milliseconds. */
+/** Interval of keep-alive comments in a sample stream, in milliseconds. */
 export const keepAliveMs = 5000;
 
 export function isRelayed({request: incoming}: Exchange): boolean {
 	return incoming.headers[relayedHeader] !== undefined;
 }
 
-/** Passes an exchange on and its answer back; false if the other entry did not answer, and nothing was written. */
+/** Relays a request and its response. Returns false if the other entry did not respond; nothing has been written then. */
 export async function relayExchange({request: incoming, response}: Exchange, address: string, body: unknown): Promise<boolean> {
-	const gone = new AbortController();
+	const disconnect = new AbortController();
 	response.on('close', () => {
-		gone.abort();
+		disconnect.abort();
 	});
 	let answer: Dispatcher.ResponseData;
 	try {
@@ -49,17 +49,17 @@
 			dispatcher: connections,
 			headersTimeout: headersTimeoutMs,
 			bodyTimeout: bodyTimeoutMs,
-			signal: gone.signal,
+			signal: disconnect.signal,
 		});
 	} catch {
-		return gone.signal.aborted;
+		return disconnect.signal.aborted;
 	}
 
-	await passBack(answer, response);
+	await relayResponse(answer, response);
 	return true;
 }
 
-async function passBack({statusCode, headers, body}: Dispatcher.ResponseData, response: ServerResponse): Promise<void> {
+async function relayResponse({statusCode, headers, body}: Dispatcher.ResponseData, response: ServerResponse): Promise<void> {
 	response.writeHead(statusCode, {'content-type': headers['content-type'] ?? 'application/json'});
 	response.flushHeaders();
 	try {
@@ -71,7 +71,7 @@
 
 		response.end();
 	} catch {
-		// An end without the terminal event tells the trainer to pull again.
+		// A stream that ends without the terminal event tells the trainer to pull again.
 		response.destroy();
 	}
 }
--- a/packages/entry/src/step-routes.ts
+++ b/packages/entry/src/step-routes.ts
@@ -1,5 +1,5 @@
 /**
- * The trainers' interface: steps, samples as server-sent events, and acknowledgements.
+ * HTTP routes for trainers: steps, samples as server-sent events, and acknowledgements.
  */
 import type {ServerResponse} from 'node:http';
 import {z} from 'zod';
@@ -10,14 +10,14 @@
 import type {
 	Delivery, FindOptions, Placement, Step, StepRunner,
 } from '@wasabiusher/systems';
-import {sendEvent, startEvents} from './answers.js';
+import {sendEvent, startEventStream} from './answers.js';
 import {findModelService} from './completions.js';
 import {parseBody, ProblemError} from './errors.js';
 import {isRelayed, keepAliveMs, relayExchange} from './step-relay.js';
 import {checkToken} from './tokens.js';
 import {waitUntilWritable} from './writable.js';
 
-/** Most samples of one step; ten times the size designed for. */
+/** Maximum number of samples in one step; ten times the size that the service is designed for. */
 const maxSamples = 20_480;
 
 const stepSchema = z.strictObject({
@@ -33,12 +33,12 @@
 const acknowledgementSchema = z.strictObject({samples: z.array(z.string()).max(maxSamples)});
 
 const pullSchema = z.object({
-	/** The cursor of the last sample received. */
+	/** Cursor of the last sample received. */
 	after: z.string().default(''),
 	version: z.coerce.number().int().min(0),
 });
 
-/** When a trainer should come back after a refusal, in milliseconds. */
+/** Retry delay suggested to a trainer while its step is moving, in milliseconds. */
 const retryAfterMs = 1000;
 
 export type StepRoutes = {
@@ -47,9 +47,9 @@
 	configuration(): Configuration;
 };
 
-/** What is done about a step, wherever it is run. */
-type ServedStep = {
-	/** The body that was read, for the entry that has the step. */
+/** An operation on a step, run by the entry that runs the step. */
+type StepOperation = {
+	/** The parsed request body, sent along if the request is relayed. */
 	body?: unknown;
 	locate(options: FindOptions): Promise<Placement>;
 	serve(step: Step): void | Promise<void>;
@@ -70,8 +70,8 @@
 	on('post', '/v1/steps/:id/acks', acknowledge);
 }
 
-/** Runs a handler where the step is run: here, or at the entry that has it. */
-async function serveStep(exchange: Exchange, {locate, body, serve}: ServedStep): Promise<void> {
+/** Runs an operation here if this entry runs the step, and relays the request otherwise. */
+async function serveStep(exchange: Exchange, {locate, body, serve}: StepOperation): Promise<void> {
 	const isOwnerGone = isRelayed(exchange);
 	let placement = await locate({isOwnerGone});
 	if (placement.kind === 'elsewhere') {
@@ -79,12 +79,12 @@
 			return;
 		}
 
-		// Its entry does not answer: the step goes on here, from the record.
+		// The owner does not respond: resume the step here from its record.
 		placement = await locate({isOwnerGone: true});
 	}
 
 	if (placement.kind !== 'here') {
-		throw new ProblemError(placement.kind === 'refused' ? placement.problem : createProblem('unavailable', 'the step is between two entries', 'no', retryAfterMs));
+		throw new ProblemError(placement.kind === 'refused' ? placement.problem : createProblem('unavailable', 'the step is being moved to another entry; try again', 'no', retryAfterMs));
 	}
 
 	await serve(placement.step);
@@ -130,11 +130,11 @@
 	await serveStep(exchange, {
 		locate: async options => runner.locate(parameters.id!, options),
 		async serve(step) {
-			const gone = new AbortController();
+			const disconnect = new AbortController();
 			exchange.response.on('close', () => {
-				gone.abort();
+				disconnect.abort();
 			});
-			const deliveries = runner.pull(step, {after, version, signal: gone.signal});
+			const deliveries = runner.pull(step, {after, version, signal: disconnect.signal});
 			if ('kind' in deliveries) {
 				throw new ProblemError(deliveries);
 			}
@@ -145,7 +145,7 @@
 }
 
 async function writeDeliveries({response}: Exchange, step: Step, deliveries: AsyncGenerator<Delivery, void>): Promise<void> {
-	startEvents(response);
+	startEventStream(response);
 	const keepAlive = setInterval(() => {
 		response.write(': waiting\n\n');
 	}, keepAliveMs);
@@ -162,7 +162,7 @@
 		clearInterval(keepAlive);
 	}
 
-	// Without the terminal event the trainer knows that the step goes on, and pulls again.
+	// The step continues at another entry; a stream without the terminal event tells the trainer to pull again.
 	if (last !== 'whole') {
 		sendEvent(response, {step: step.request.id}, 'moved');
 	}
@@ -176,7 +176,7 @@
 	(writers[delivery.kind] as (response: ServerResponse, step: Step, delivery: Delivery) => void)(response, step, delivery);
 }
 
-/** How each kind of delivery is written. */
+/** Writers by kind of delivery. */
 const writers: {readonly [Kind in Delivery['kind']]: (response: ServerResponse, step: Step, delivery: Extract<Delivery, {kind: Kind}>) => void} = {
 	sample(response, _step, {sample, cursor}) {
 		sendEvent(response, {...sample, cursor}, 'sample');
--- a/packages/entry/src/writable.ts
+++ b/packages/entry/src/writable.ts
@@ -1,13 +1,13 @@
 /**
- * Waiting for a slow reader.
+ * Waits for a slow reader of a stream.
  */
 import {once} from 'node:events';
 import type {Writable} from 'node:stream';
 
 /**
- * Resolves when a response takes more, or its reader is gone.
+ * Resolves when the write buffer of a response has drained, or its reader has disconnected.
  *
- * No listener is left behind: a stream of thousands of events to a slow reader waits thousands of times.
+ * Removes its listeners: a stream of thousands of events to a slow reader waits thousands of times.
  */
 export async function waitUntilWritable(response: Writable): Promise<void> {
 	const isOver = new AbortController();
