--- a/packages/entry/__tests__/agent-links.spec.ts
+++ b/packages/entry/__tests__/agent-links.spec.ts
@@ -8,7 +8,7 @@
 import {AgentSubset} from '../src/agent-subset.js';
 import {createStatus} from './fixtures.js';
 
-/** A link that the test opens and breaks. */
+/** A link that the test opens and closes. */
 class FakeLink implements AgentLink {
 	isUp = false;
 	isClosed = false;
@@ -72,7 +72,7 @@
 					return fixture.members;
 				},
 				async announce() {
-					// The view only reads.
+					// AgentLinks only reads the list.
 				},
 			},
 			random: new Random(1),
@@ -95,7 +95,7 @@
 	return fixture;
 }
 
-describe('View', () => {
+describe('AgentLinks', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -106,7 +106,7 @@
 		clock.uninstall();
 	});
 
-	it('links to agents as they are listed', async () => {
+	it('links to the agents in the membership list', async () => {
 		const {view, links, dispatcher} = createFixture([createMember('a1'), createMember('e2', {role: 'entry'})]);
 		await view.refresh();
 		links[0]!.open();
@@ -115,7 +115,7 @@
 		expect(dispatcher.endpoints.get('a1')).to.include({isUp: true, dataCentre: 'muroran'});
 	});
 
-	it('tells of a lost link once, and not of each try to open it', async () => {
+	it('reports a lost link once, and no failed attempts to open it', async () => {
 		const fixture = createFixture([createMember('a1')]);
 		await fixture.view.refresh();
 		const [link] = fixture.links;
@@ -127,7 +127,7 @@
 		expect(fixture.lost).to.deep.equal(['a1']);
 	});
 
-	it('reads a short list each second and a long one less often, until it is stopped', async () => {
+	it('reads a short list every second and a long one less often, until it is stopped', async () => {
 		const fixture = createFixture([]);
 		await fixture.view.start();
 		await clock.tickAsync(20_000);
@@ -142,7 +142,7 @@
 		expect(fixture.readings - before).to.be.within(9, 11);
 	});
 
-	it('keeps what it has while the list is unavailable or empty', async () => {
+	it('keeps its links while the list is unavailable or empty', async () => {
 		const fixture = createFixture([createMember('a1')]);
 		await fixture.view.refresh();
 		fixture.links[0]!.open();
@@ -155,7 +155,7 @@
 		expect(fixture.dispatcher.endpoints.listServing('models')).to.have.lengthOf(1);
 	});
 
-	it('gives a leaving agent no new work, and lets its link go when nothing is open there', async () => {
+	it('retires a leaving agent, and closes its link when no attempt is open there', async () => {
 		const fixture = createFixture([createMember('a1'), createMember('b22')]);
 		await fixture.view.refresh();
 		for (const link of fixture.links) {
@@ -174,7 +174,7 @@
 		expect(fixture.dispatcher.endpoints.has('a1')).to.equal(false);
 	});
 
-	it('goes on with a live agent that the list has lost, for a while', async () => {
+	it('keeps an agent that is missing from the list for a grace period', async () => {
 		const fixture = createFixture([createMember('a1'), createMember('b22')]);
 		await fixture.view.refresh();
 		for (const link of fixture.links) {
@@ -197,7 +197,7 @@
 		expect(fixture.dispatcher.endpoints.listServing('models')).to.have.lengthOf(1);
 	});
 
-	it('links anew to an agent whose address has changed, and hears nothing of the old link', async () => {
+	it('opens a new link to an agent whose address has changed, and ignores the old link', async () => {
 		const fixture = createFixture([createMember('a1')]);
 		await fixture.view.refresh();
 		fixture.links[0]!.open();
@@ -212,7 +212,7 @@
 	});
 });
 
-describe('ViewSubset', () => {
+describe('AgentSubset', () => {
 	function listMembers(entries: number, agents: number): Member[] {
 		return [
 			...Array.from({length: entries}, (_, i) => createMember(`e${i}`, {role: 'entry'})),
@@ -220,7 +220,7 @@
 		];
 	}
 
-	it('bounds the links at both ends and is the same for each process', () => {
+	it('bounds the links of entries and agents, and does not depend on the order of members', () => {
 		const members = listMembers(20, 200);
 		const counts = new Map<string, number>();
 		for (let i = 0; i < 20; i += 1) {
@@ -232,12 +232,12 @@
 			}
 		}
 
-		// 20 entries with 64 links each make 6.4 a agent.
+		// 20 entries with 64 links each make 6.4 per agent.
 		expect(Math.min(...counts.values())).to.be.at.least(5);
 		expect(Math.max(...counts.values())).to.be.at.most(8);
 	});
 
-	it('takes each service for itself, and a few agents elsewhere to spill to', () => {
+	it('selects agents per service, and a few in other data centres for spillover', () => {
 		const members = [
 			...listMembers(1, 100),
 			createMember('ledger-1', {service: 'ledger'}),
@@ -249,7 +249,7 @@
 		expect(chosen).to.have.lengthOf(64 + 1 + 8);
 	});
 
-	it('spills to a few data centres, those of its own region first, however many there are', () => {
+	it('selects few other data centres, those of its own region first', () => {
 		const members = Array.from({length: 18}, (_, place) => Array.from({length: 20}, (__, i) => createMember(`dc${place}-${i}`, {
 			dataCentre: `dc${place}`, region: place === 11 ? 'hokkaido' : `region-${place % 6}`,
 		}))).flat();
--- a/packages/entry/__tests__/claims.spec.ts
+++ b/packages/entry/__tests__/claims.spec.ts
@@ -9,10 +9,10 @@
 
 const names = ['entry-0', 'entry-1', 'entry-2', 'entry-3'];
 
-/** As the entries choose them. */
+/** The gatherers, selected in the same way as by the entries. */
 const gatherers = orderByRank('commits', names).slice(0, 2);
 
-const [plain, stranger] = names.filter(name => !gatherers.includes(name)) as [string, string];
+const [plain, otherKeyEntry] = names.filter(name => !gatherers.includes(name)) as [string, string];
 
 function createCall(id: string): Call {
 	return {
@@ -30,13 +30,13 @@
 	};
 }
 
-/** Entries over one store, whose claims are gathered by two of them. */
-class Town {
+/** Entries that share one store; two of them commit the claims of all. */
+class EntryCluster {
 	readonly tables = new FaultyTables(new Faults());
 	readonly claims = new Map<string, Claims>();
 	readonly servers: HttpServer[] = [];
 	readonly members: Member[] = [];
-	/** Entries that wrote, in order. */
+	/** Names of the entries that wrote to the store, in order. */
 	readonly writers: string[] = [];
 	ran = 0;
 
@@ -71,8 +71,8 @@
 			claims.follow(this.members);
 		}
 
-		const proven = names.filter(name => name !== stranger).map(name => this.claims.get(name)!);
-		for (let looks = 0; looks < 500 && proven.some(({isLinked}) => !isLinked); looks += 1) {
+		const proven = names.filter(name => name !== otherKeyEntry).map(name => this.claims.get(name)!);
+		for (let tries = 0; tries < 500 && proven.some(({isLinked}) => !isLinked); tries += 1) {
 			// eslint-disable-next-line no-await-in-loop
 			await new Promise(resolve => {
 				setTimeout(resolve, 2);
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Resolves to the status, or to what is said of the run. */
+	/** Resolves to the status, or to the `ran` value and detail of the problem. */
 	async post(name: string, key: string): Promise<string> {
 		return new Promise(resolve => {
 			this.claims.get(name)!.submit(createCall(`${name}/${key}`), key, {
@@ -112,38 +112,38 @@
 	}
 }
 
-describe('Claims of several entries', () => {
-	let town: Town;
+describe('Claims on several entries', () => {
+	let cluster: EntryCluster;
 
 	beforeEach(async () => {
-		town = new Town();
+		cluster = new EntryCluster();
 		for (const name of names) {
 			// eslint-disable-next-line no-await-in-loop
-			await town.start(name, name === stranger ? ['another key'] : ['key']);
+			await cluster.start(name, name === otherKeyEntry ? ['another key'] : ['key']);
 		}
 
-		await town.link();
+		await cluster.link();
 	});
 
 	afterEach(async () => {
-		await town.stop();
+		await cluster.stop();
 	});
 
-	it('are gathered over links, and each key runs once', async () => {
-		const answers = await Promise.all([plain, ...gatherers].map(async name => town.post(name, 'k')));
+	it('commits claims through the gatherers, and runs each key once', async () => {
+		const answers = await Promise.all([plain, ...gatherers].map(async name => cluster.post(name, 'k')));
 		expect(answers).to.deep.equal(['201', '201', '201']);
-		expect(town.ran).to.equal(1);
-		expect(town.writers).to.not.be.empty;
-		expect(town.writers).to.not.include(plain);
+		expect(cluster.ran).to.equal(1);
+		expect(cluster.writers).to.not.be.empty;
+		expect(cluster.writers).to.not.include(plain);
 	});
 
-	it('are committed by an entry itself when it can not prove the key, or gatherers have left', async () => {
-		expect(await town.post(stranger, 'k')).to.equal('201');
-		expect(town.writers).to.include(stranger);
-		await Promise.all([...town.claims.values()].map(async claims => claims.stopGathering()));
-		const answers = await Promise.all([plain, ...gatherers].map(async name => town.post(name, name)));
+	it('commits claims directly if the entry has another link key, or the gatherers have stopped gathering', async () => {
+		expect(await cluster.post(otherKeyEntry, 'k')).to.equal('201');
+		expect(cluster.writers).to.include(otherKeyEntry);
+		await Promise.all([...cluster.claims.values()].map(async claims => claims.stopGathering()));
+		const answers = await Promise.all([plain, ...gatherers].map(async name => cluster.post(name, name)));
 		expect(answers).to.deep.equal(['201', '201', '201']);
-		expect(town.writers).to.include(plain);
-		expect(town.ran).to.equal(4);
+		expect(cluster.writers).to.include(plain);
+		expect(cluster.ran).to.equal(4);
 	});
 });
--- a/packages/entry/__tests__/completions.spec.ts
+++ b/packages/entry/__tests__/completions.spec.ts
@@ -36,7 +36,7 @@
 		await routes.stop();
 	});
 
-	it('answers a text whole, with the versions that made it', async () => {
+	it('responds with the complete text and the weight versions that generated it', async () => {
 		routes = await startRoutes(answerWhole);
 		const {status, text} = await post(routes, '/v1/completions', {
 			...body, user: 'someone', logit_bias: {}, temperature: null,
@@ -52,7 +52,7 @@
 		});
 	});
 
-	it('takes text parts and the newer name of the token limit in a chat', async () => {
+	it('accepts text parts and `max_completion_tokens` in a chat', async () => {
 		routes = await startRoutes(answerWhole);
 		const {text} = await post(routes, '/v1/chat/completions', {
 			model: 'trail', max_completion_tokens: 7, messages: [{role: 'user', content: [{type: 'text', text: 'a'}, {type: 'text', text: 'b'}]}],
@@ -62,7 +62,7 @@
 		expect(open).to.deep.include({work: {kind: 'generate', request: {model: 'trail', maxTokens: 7, messages: [{role: 'user', content: 'ab'}]}}});
 	});
 
-	it('streams chunks with the places of their tokens and ends with the terminal event', async () => {
+	it('streams chunks with their token offsets and ends with the terminal event', async () => {
 		routes = await startRoutes(answerWhole);
 		const {headers, text} = await post(routes, '/v1/chat/completions', {
 			model: 'trail', messages: [{role: 'user', content: 'a'}], stream: true, stream_options: {include_usage: true},
@@ -81,7 +81,7 @@
 		expect(chunks[3]!.usage).to.deep.equal({completion_tokens: 3});
 	});
 
-	it('ends a stream that breaks off with an error and no terminal event', async () => {
+	it('ends an interrupted stream with an error event and no terminal event', async () => {
 		routes = await startRoutes(({part, fail}) => {
 			part(createParts('out '));
 			fail('unknown');
@@ -94,7 +94,7 @@
 		expect(JSON.parse(failure!.split('data: ')[1]!)).to.include({kind: 'endpoint-failed', ran: 'yes'});
 	});
 
-	it('answers a failure before the first part with its status', async () => {
+	it('responds to a failure before the first part with its status', async () => {
 		routes = await startRoutes(({refuse}) => {
 			refuse('overloaded');
 		});
@@ -105,7 +105,7 @@
 		expect(JSON.parse(text)).to.include({ran: 'no', kind: 'overloaded'});
 	});
 
-	it('stops the work when the caller goes away', async () => {
+	it('cancels the attempt when the caller disconnects', async () => {
 		routes = await startRoutes(({part}) => {
 			part(createParts('out '));
 		});
@@ -119,8 +119,8 @@
 		expect(routes.records.map(({outcome}) => outcome)).to.deep.equal(['cancelled']);
 	});
 
-	it('holds back acknowledgements of a caller that does not read', async () => {
-		// More than the buffers of both sockets take.
+	it('withholds acknowledgements while the caller does not read', async () => {
+		// Exceeds the buffers of both sockets.
 		const large = 'x'.repeat(1_000_000);
 		routes = await startRoutes(({part}) => {
 			for (let i = 0; i < 40; i += 1) {
@@ -133,7 +133,7 @@
 			method: 'POST', body: JSON.stringify({...body, stream: true}), headers: {'wasabiusher-profile': 'ranger'},
 		});
 		await waitUntil(() => routes.records.length === 1);
-		// Only the end of the answer is acknowledged, which nothing follows.
+		// Only the final event is acknowledged.
 		expect(routes.sent.filter(({kind}) => kind === 'acknowledge')).to.have.lengthOf(1);
 		const text = await response.body.text();
 		expect(text.length).to.be.greaterThan(40_000_000);
@@ -145,13 +145,13 @@
 			name: 'malformed JSON', body: '{"model":', status: 400, detail: /not JSON/v,
 		},
 		{
-			name: 'no body', body: '', status: 400, detail: /expected object/v,
+			name: 'an empty body', body: '', status: 400, detail: /expected object/v,
 		},
 		{
-			name: 'a field of a wrong kind', body: {...body, max_tokens: 'many'}, status: 400, detail: /field max_tokens/v,
+			name: 'a field of a wrong type', body: {...body, max_tokens: 'many'}, status: 400, detail: /field max_tokens/v,
 		},
 		{
-			name: 'several answers at once', body: {...body, n: 2}, status: 400, detail: /field n: expected 1/v,
+			name: 'a request for several answers', body: {...body, n: 2}, status: 400, detail: /field n: expected 1/v,
 		},
 		{
 			name: 'a model that no service has', body: {...body, model: 'none'}, status: 404, detail: /field model.*"none"/v,
@@ -160,22 +160,22 @@
 			name: 'an unknown profile', headers: {'wasabiusher-profile': 'none'}, status: 400, detail: /header Wasabiusher-Profile.*"none"/v,
 		},
 		{
-			name: 'a profile that only objects have', headers: {'wasabiusher-profile': 'constructor'}, status: 400, detail: /header Wasabiusher-Profile/v,
+			name: 'a profile named like a property of Object.prototype', headers: {'wasabiusher-profile': 'constructor'}, status: 400, detail: /header Wasabiusher-Profile/v,
 		},
 		{
-			name: 'a figure that is none', headers: {'wasabiusher-timeout-ms': 'soon'}, status: 400, detail: /header Wasabiusher-Timeout-Ms.*"soon"/v,
+			name: 'a timeout that is not a number', headers: {'wasabiusher-timeout-ms': 'soon'}, status: 400, detail: /header Wasabiusher-Timeout-Ms.*"soon"/v,
 		},
 		{
-			name: 'a figure beyond the bound', headers: {'wasabiusher-timeout-ms': '1e12'}, status: 400, detail: /header Wasabiusher-Timeout-Ms/v,
+			name: 'a timeout above the maximum', headers: {'wasabiusher-timeout-ms': '1e12'}, status: 400, detail: /header Wasabiusher-Timeout-Ms/v,
 		},
 		{
-			name: 'an empty figure', headers: {'wasabiusher-timeout-ms': ' '}, status: 400, detail: /header Wasabiusher-Timeout-Ms/v,
+			name: 'a blank timeout', headers: {'wasabiusher-timeout-ms': ' '}, status: 400, detail: /header Wasabiusher-Timeout-Ms/v,
 		},
 		{
 			name: 'a deadline that has passed', headers: {'wasabiusher-timeout-ms': '-5'}, status: 400, detail: /header Wasabiusher-Timeout-Ms: the deadline has passed/v,
 		},
 		{
-			name: 'a caller with too long a name', headers: {'wasabiusher-caller': 'x'.repeat(200)}, status: 400, detail: /header Wasabiusher-Caller/v,
+			name: 'a caller name that is too long', headers: {'wasabiusher-caller': 'x'.repeat(200)}, status: 400, detail: /header Wasabiusher-Caller/v,
 		},
 		{
 			name: 'a body that is too large', body: 'x'.repeat(9 * 1024 * 1024), status: 413, detail: /exceeds/v,
@@ -184,7 +184,7 @@
 			name: 'an unknown route', path: '/v2', status: 404, detail: /"v2"/v,
 		},
 		{
-			name: 'a target that is no URL', path: '//', status: 404, detail: /no/v,
+			name: 'a request target that is not a URL', path: '//', status: 404, detail: /no/v,
 		},
 	];
 
@@ -194,7 +194,7 @@
 	};
 
 	for (const bad of badRequests) {
-		it(`refuses ${bad.name}, and runs nothing`, async () => refuse(bad));
+		it(`rejects ${bad.name} without running anything`, async () => refuse(bad));
 	}
 });
 
--- a/packages/entry/__tests__/control.spec.ts
+++ b/packages/entry/__tests__/control.spec.ts
@@ -22,12 +22,12 @@
 	};
 }
 
-/** What a process waits for that is cut off from the store. */
+/** Pending result of a store operation while the process is cut off from the store. */
 const never = new Promise<never>(() => {
 	// It never settles.
 });
 
-/** Two engines and a plain service; orders are carried out at once, and refused under a lower fence. */
+/** Two engines and a plain service. Orders take effect immediately and are rejected under a lower fencing token. */
 class FakeEndpoints {
 	readonly rows = new Map<string, KnownEndpoint>([
 		['engine-0', {id: 'engine-0', isUp: true, status: createStatus('models', 1)}],
@@ -63,7 +63,7 @@
 	}
 }
 
-describe('control of an entry', () => {
+describe('Control', () => {
 	let clock: Clock;
 	let tables: MemoryTableService;
 	let weights: MemoryWeightStore;
@@ -98,7 +98,7 @@
 		return control;
 	}
 
-	it('lets one of several entries bring the new version to all engines', async () => {
+	it('lets one of several entries roll out a new version to all engines', async () => {
 		const controls = [startControl('entry-1', 1), startControl('entry-2', 2)];
 		await clock.tickAsync(17_000);
 		expect(endpoints.versions).to.deep.equal([2, 2]);
@@ -106,17 +106,17 @@
 		expect(endpoints.outcomes, 'a fetch and a swap each').to.have.lengthOf(4);
 	});
 
-	it('is tried for by a few entries of a data centre only, so that the store is not read by all', async () => {
+	it('lets only a few entries of a data centre compete for the lease, to bound reads of the store', async () => {
 		const names = Array.from({length: 20}, (_, index) => `entry-${index}`);
 		const controls = names.map((name, index) => startControl(name, index, names));
 		await clock.tickAsync(17_000);
 		expect(endpoints.versions).to.deep.equal([2, 2]);
-		// Three of them, at a read every 2 s or so.
+		// Three candidates at about one read every 2 s.
 		expect(tables.gate.counts.reads).to.be.at.most(3 * 12);
 		await Promise.all(controls.map(async control => control.stop()));
 	});
 
-	it('goes on at another entry when the one in charge has stopped, under a higher fence', async () => {
+	it('continues at another entry under a higher fencing token after the lease holder has stopped', async () => {
 		const first = startControl('entry-1', 1);
 		await clock.tickAsync(5000);
 		const second = startControl('entry-2', 2);
@@ -129,7 +129,7 @@
 		expect(first.describe()).to.deep.equal([]);
 	});
 
-	it('goes on at another entry when the one in charge has died', async () => {
+	it('continues at another entry after the lease holder has died', async () => {
 		let isCut = false;
 		const dead = createControl({
 			name: 'entry-1',
@@ -156,7 +156,7 @@
 		expect(dead.describe(), 'its lease has lapsed').to.deep.equal([]);
 	});
 
-	it('gives no orders while the store is down and the lease has lapsed, and goes on afterwards', async () => {
+	it('sends no orders while the store is down and the lease has expired, and resumes afterwards', async () => {
 		startControl('entry-1', 1);
 		await clock.tickAsync(5000);
 		tables.switches.isDown = true;
@@ -170,7 +170,7 @@
 		expect(endpoints.versions).to.deep.equal([3, 3]);
 	});
 
-	it('orders nothing of plain services and leaves no timer behind', async () => {
+	it('sends no orders to plain services and leaves no timer behind', async () => {
 		const control = startControl('entry-1', 1);
 		await clock.tickAsync(5000);
 		await control.stop();
--- a/packages/entry/__tests__/drain-notice.spec.ts
+++ b/packages/entry/__tests__/drain-notice.spec.ts
@@ -23,7 +23,7 @@
 		return endedAt - start;
 	}
 
-	it('gives a balancer that checks regularly time to see it', async () => {
+	it('delays the shutdown if a load balancer checks regularly', async () => {
 		const notice = new DrainNotice();
 		for (let i = 0; i < 5; i += 1) {
 			notice.recordCheck();
@@ -33,7 +33,7 @@
 		expect(await measure(notice)).to.equal(5000);
 	});
 
-	it('waits for nobody when nobody checks, only once, or no longer', async () => {
+	it('does not wait without checks, after a single check, or after checks have stopped', async () => {
 		const notice = new DrainNotice();
 		expect(await measure(notice)).to.equal(0);
 		notice.recordCheck();
--- a/packages/entry/__tests__/entry.spec.ts
+++ b/packages/entry/__tests__/entry.spec.ts
@@ -31,7 +31,7 @@
 		const origin = await platform.start();
 		agents = [await startFakeAgent('agent-1', 'models', answer), await startFakeAgent('agent-2', 'ledger', answerLedger)];
 		for (const {member} of agents) {
-			// One after the other, as the list keeps their order.
+			// Sequential, since the list keeps the order of insertion.
 			// eslint-disable-next-line no-await-in-loop
 			await request(`${origin}/v1/members/${member.id}`, {method: 'PUT', body: JSON.stringify(member)});
 		}
@@ -53,7 +53,7 @@
 		return {status: response.statusCode, headers: response.headers, text: await response.body.text()};
 	}
 
-	/** A stream whose first event has come. */
+	/** Opens a stream; resolves to its body once the headers have arrived. */
 	async function openStream() {
 		const response = await request(`http://${entry.addresses.callers}/v1/completions`, {
 			method: 'POST', body: JSON.stringify({...body, stream: true}), headers: {'wasabiusher-profile': 'ranger'},
@@ -80,7 +80,7 @@
 		await platform.stop();
 	});
 
-	it('serves callers as soon as it is ready, and counts what they received', async () => {
+	it('serves callers once it is ready, and counts their calls', async () => {
 		await start();
 		const {callers, operators} = entry.addresses;
 		const ready = await get(callers, '/readyz');
@@ -90,19 +90,19 @@
 		const metrics = await get(callers, '/metrics');
 		expect(metrics.text).to.include('wasabiusher_calls_total{profile="ranger",outcome="answered"} 1');
 		const answer = await get(operators, '/v1/status');
-		const told = JSON.parse(answer.text) as {configuration: Record<string, unknown>; agents: Array<{name: string}>; entries: Array<Record<string, unknown>>};
-		expect(told.configuration).to.include({version: 1, author: 'ann'});
-		expect(told.agents.map(({name}) => name)).to.deep.equal(['agent-1', 'agent-2']);
-		expect(told.entries[0]).to.include({name: 'entry-1', configurationVersion: 1});
+		const reported = JSON.parse(answer.text) as {configuration: Record<string, unknown>; agents: Array<{name: string}>; entries: Array<Record<string, unknown>>};
+		expect(reported.configuration).to.include({version: 1, author: 'ann'});
+		expect(reported.agents.map(({name}) => name)).to.deep.equal(['agent-1', 'agent-2']);
+		expect(reported.entries[0]).to.include({name: 'entry-1', configurationVersion: 1});
 	});
 
-	it('announces itself, and tells agents of a change of configuration', async () => {
+	it('announces itself, and notifies agents of a configuration change', async () => {
 		await start();
 		expect(await findMember('entry-1')).to.include({role: 'entry', state: 'live', address: entry.addresses.callers});
 		await waitUntil(() => agents[0]!.received.some(message => message.kind === 'digest' && message.configurationVersion === 1));
 	});
 
-	it('runs a posting with a key once, and gives its answer again', async () => {
+	it('runs a call with an idempotency key once, and replays its answer', async () => {
 		await start();
 		const headers = {'wasabiusher-profile': 'posting', 'idempotency-key': 'k1'};
 		const first = await post('/ledger/postings', {tank: 7}, headers);
@@ -114,7 +114,7 @@
 		expect(agents[1]!.received.filter(({kind}) => kind === 'open')).to.have.lengthOf(1);
 	});
 
-	it('goes on with an answer over a replaced link', async () => {
+	it('resumes an answer over a replaced link', async () => {
 		const replies: Reply[] = [];
 		await start(reply => {
 			replies.push(reply);
@@ -131,7 +131,7 @@
 		expect(text).to.match(/\[DONE\]\n\n$/v);
 	});
 
-	it('drains: not ready at once, takes nothing new, and cuts off nothing that is open', async () => {
+	it('reports not ready while it drains, refuses new connections, and completes open calls', async () => {
 		const replies: Reply[] = [];
 		await start(reply => {
 			replies.push(reply);
@@ -155,7 +155,7 @@
 async function waitUntilRefused(address: string): Promise<void> {
 	for (;;) {
 		try {
-			// Each try waits for the one before.
+			// Polls sequentially.
 			// eslint-disable-next-line no-await-in-loop
 			const {body: answer} = await request(`http://${address}/readyz`, {reset: true});
 			// eslint-disable-next-line no-await-in-loop
--- a/packages/entry/__tests__/fake-agent.ts
+++ b/packages/entry/__tests__/fake-agent.ts
@@ -6,11 +6,11 @@
 import type {Member} from '@wasabiusher/backends';
 import {createStatus, type Reply} from './fixtures.js';
 
-/** An agent on a real link, that answers as the test says. */
+/** An agent on a real link, with responses scripted by the test. */
 export type FakeAgent = {
 	member: Member;
 	received: Message[];
-	/** Ends all links, as a silent network does to those that notice. */
+	/** Closes all links, as after a detected network failure. */
 	cutLinks(): void;
 	stop(): void;
 };
@@ -54,7 +54,7 @@
 	};
 }
 
-/** Replies go over the newest link. */
+/** Creates a reply that is sent over the newest link. */
 function createReply(links: readonly Link[], open: MessageOf<'open'>): Reply {
 	const {request, attempt} = open;
 	let sequence = 0;
--- a/packages/entry/__tests__/fixtures.ts
+++ b/packages/entry/__tests__/fixtures.ts
@@ -7,7 +7,7 @@
 import {answerError} from '../src/answers.js';
 import {addCallerRoutes} from '../src/caller-routes.js';
 
-/** Answers one attempt as an agent would. */
+/** Responds to one attempt like an agent. */
 export type Reply = {
 	open: MessageOf<'open'>;
 	part(event: AnswerEvent): void;
@@ -18,7 +18,7 @@
 export type Routes = {
 	origin: string;
 	dispatcher: Dispatcher;
-	/** What agents were sent. */
+	/** Messages sent to agents. */
 	sent: Message[];
 	records: CallRecord[];
 	stop(): Promise<void>;
@@ -52,7 +52,7 @@
 	};
 }
 
-/** The callers' routes on a real socket, over a dispatcher whose agents answer as the test says. */
+/** Serves the callers' routes on a real socket, with a dispatcher whose agents respond as scripted by the test. */
 export async function startRoutes(answer: (reply: Reply) => void): Promise<Routes> {
 	const sent: Message[] = [];
 	const records: CallRecord[] = [];
@@ -119,10 +119,10 @@
 	return {kind: 'parts', parts: [{text, tokens: 1, version: 3}]};
 }
 
-/** Resolves when the test holds; the runner's time limit bounds the wait. */
+/** Resolves when the condition holds; the timeout of the test runner bounds the wait. */
 export async function waitUntil(test: () => boolean): Promise<void> {
 	while (!test()) {
-		// Each look waits for the one before.
+		// Polls sequentially.
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise(resolve => {
 			setImmediate(resolve);
--- a/packages/entry/__tests__/forwarding.spec.ts
+++ b/packages/entry/__tests__/forwarding.spec.ts
@@ -11,7 +11,7 @@
 	part({kind: 'finished'});
 }
 
-describe('forwarding', () => {
+describe('handleForward', () => {
 	let routes: Routes;
 	let pool: Pool;
 
@@ -25,7 +25,7 @@
 		await routes.stop();
 	});
 
-	it('keeps method, path, query, headers, body and status', async () => {
+	it('preserves method, path, query, headers, body and status', async () => {
 		await start(answerWhole);
 		const response = await pool.request({
 			method: 'PUT', path: '/ledger//postings/a%2Fb?tank=7&day=1', body: 'dip', headers: {'wasabiusher-profile': 'posting', 'x-gauge': 'g1', 'proxy-connection': 'x'},
@@ -42,7 +42,7 @@
 		expect(work.headers).to.not.have.any.keys('proxy-connection', 'host', 'content-length');
 	});
 
-	it('answers GET and HEAD one after another on a kept connection', async () => {
+	it('responds to GET and then HEAD on a persistent connection', async () => {
 		await start(answerWhole);
 		const headers = {'wasabiusher-profile': 'ranger'};
 		const whole = await pool.request({method: 'GET', path: '/ledger', headers});
@@ -61,7 +61,7 @@
 			]);
 	});
 
-	it('keeps several cookies apart', async () => {
+	it('keeps several cookies as separate headers', async () => {
 		const cookies = ['a=1; Expires=Wed, 02 Dec 2026 21:00:00 GMT', 'b=2'];
 		await start(({part}) => {
 			part({kind: 'head', status: 200, headers: listEndToEndHeaders({'set-cookie': cookies, vary: ['a', 'b']})});
@@ -72,7 +72,7 @@
 		expect(response.headers).to.deep.include({'set-cookie': cookies, vary: 'a, b'});
 	});
 
-	it('passes a body on as it comes', async () => {
+	it('streams a body as it arrives', async () => {
 		const replies: Reply[] = [];
 		await start(reply => {
 			replies.push(reply);
@@ -85,7 +85,7 @@
 		expect(await response.body.text()).to.equal('a');
 	});
 
-	it('cuts the connection when the answer breaks off after its head', async () => {
+	it('closes the connection if the answer fails after its head', async () => {
 		await start(({part, fail}) => {
 			part({kind: 'head', status: 200, headers: {}});
 			fail('unknown');
@@ -97,7 +97,7 @@
 		expect(routes.records.map(({outcome: name, progress}) => [name, progress])).to.deep.equal([['failed', 'head']]);
 	});
 
-	it('tells truly that a posting may have run, and does not send it again', async () => {
+	it('reports that a non-idempotent call may have run, and does not retry it', async () => {
 		await start(({fail}) => {
 			fail('unknown');
 		});
@@ -108,7 +108,7 @@
 		expect(routes.sent.filter(({kind}) => kind === 'open')).to.have.lengthOf(1);
 	});
 
-	it('fails an answer with headers that can not be sent, and goes on serving', async () => {
+	it('fails an answer with invalid headers, and continues to serve', async () => {
 		await start(({part}) => {
 			part({kind: 'head', status: 200, headers: {'x-bad': 'line\nbreak'}});
 		});
--- a/packages/entry/__tests__/metrics.spec.ts
+++ b/packages/entry/__tests__/metrics.spec.ts
@@ -5,7 +5,7 @@
 import {EntryMetrics} from '../src/metrics.js';
 
 function createRecord(changes: Partial<CallRecord>): CallRecord {
-	// The metrics look at the profile's name only.
+	// The metrics read only the name of the profile.
 	const call = {profileName: 'ranger'} as unknown as CallRecord['call'];
 	return {
 		call, outcome: 'answered', progress: 'content', queueMs: 2, durationMs: 40, attempts: 1, ...changes,
@@ -13,7 +13,7 @@
 }
 
 describe('EntryMetrics', () => {
-	it('counts how calls end, failures by what the caller had', async () => {
+	it('counts calls by outcome, and failures by what the caller had received', async () => {
 		const registry = new Registry();
 		const metrics = new EntryMetrics(registry, () => ({
 			openCalls: 3, draining: 1, linksUp: 2, links: 4, configurationVersion: 9, isReady: true,
--- a/packages/entry/__tests__/operator-routes.spec.ts
+++ b/packages/entry/__tests__/operator-routes.spec.ts
@@ -12,7 +12,7 @@
 
 type Answer = {status: number; body: Record<string, unknown>};
 
-describe('operators\' routes', () => {
+describe('addOperatorRoutes', () => {
 	let server: HttpServer;
 	let origin: string;
 	let current: AcceptedConfiguration;
@@ -60,7 +60,7 @@
 		await server.kill();
 	});
 
-	it('accepts a change, puts it in force and lists it', async () => {
+	it('accepts a change, applies it and lists it in the history', async () => {
 		const {status, body} = await send('POST', '/v1/configuration', {configuration: createConfiguration(), author: 'ann', ifVersion: 0});
 		expect(status).to.equal(200);
 		expect(body).to.include({version: 1, author: 'ann'});
@@ -69,9 +69,9 @@
 		expect(history.body).to.have.lengthOf(1);
 	});
 
-	it('refuses without a valid token and changes nothing', async () => {
+	it('rejects a change without a valid token', async () => {
 		for (const token of ['', 't2', 't']) {
-			// One after another, so that a failure names its token.
+			// Sequential, so that a failure names its token.
 			// eslint-disable-next-line no-await-in-loop
 			const {status} = await send('POST', '/v1/configuration', {configuration: createConfiguration(), author: 'eve'}, token);
 			expect(status, `token "${token}"`).to.equal(401);
@@ -80,7 +80,7 @@
 		expect(current.version).to.equal(0);
 	});
 
-	it('lists all that is wrong, with paths', async () => {
+	it('lists all validation errors with their paths', async () => {
 		const {status, body} = await send('POST', '/v1/configuration', {
 			author: 'ann',
 			configuration: {profiles: {ranger: {class: 'urgent', idempotent: true, deadlineMs: -1}}, services: {models: {kind: 'odd'}}},
@@ -93,14 +93,14 @@
 		expect(current.version).to.equal(0);
 	});
 
-	it('shows a conflict with the other operator\'s change', async () => {
+	it('includes the configuration in force in a conflict', async () => {
 		await send('POST', '/v1/configuration', {configuration: createConfiguration(), author: 'ann', ifVersion: 0});
 		const {status, body} = await send('POST', '/v1/configuration', {configuration: createConfiguration(), author: 'bob', ifVersion: 0});
 		expect(status).to.equal(409);
 		expect(body.current).to.deep.include({version: 1, author: 'ann'});
 	});
 
-	it('tells which processes are behind', async () => {
+	it('lists the processes that run an older configuration', async () => {
 		const {body} = await send('GET', '/v1/status');
 		expect(body).to.deep.include({lagging: ['agent-1']});
 		expect((body.agents as unknown[])[1]).to.deep.include({
@@ -111,7 +111,7 @@
 		}]);
 	});
 
-	it('answers an unknown route with a problem', async () => {
+	it('responds to an unknown route with a problem', async () => {
 		expect(await send('GET', '/v1/other')).to.deep.include({status: 404});
 	});
 });
--- a/packages/entry/__tests__/settings.spec.ts
+++ b/packages/entry/__tests__/settings.spec.ts
@@ -11,18 +11,18 @@
 	});
 }
 
-describe('settings of the entry', () => {
-	it('names the secrets that are not set on loopback', () => {
+describe('entrySettingsSchema', () => {
+	it('allows missing secrets on loopback, which `listMissingSecrets` names', () => {
 		expect(listMissingSecrets(parse('--trainer-tokens', 't1')!)).to.deep.equal(['linkKeys', 'operatorTokens']);
 	});
 
-	it('refuses an address that others can reach without the secret that guards it', () => {
+	it('rejects a non-loopback address without the secret that protects it', () => {
 		expect(() => parse('--listen', '0.0.0.0:80', '--trainer-tokens', 't1')).to.throw('setting --link-keys: required unless --listen is a loopback address (or WASABIUSHER_LINK_KEYS)');
 		expect(() => parse('--listen', '0.0.0.0:80', '--link-keys', 'k1')).to.throw('setting --trainer-tokens');
 		expect(() => parse('--operator-listen', '[::]:80')).to.throw('setting --operator-tokens');
 	});
 
-	it('takes such an address with its secrets', () => {
+	it('accepts a non-loopback address with its secrets', () => {
 		const settings = parse('--listen', '0.0.0.0:80', '--link-keys', 'k2,k1', '--trainer-tokens', 't1');
 		expect(settings!.linkKeys).to.deep.equal(['k2', 'k1']);
 	});
--- a/packages/entry/__tests__/step-routes.spec.ts
+++ b/packages/entry/__tests__/step-routes.spec.ts
@@ -39,7 +39,7 @@
 
 type Pulled = {ids: string[]; cursor: string; end: string | undefined};
 
-/** Pulls until the stream ends, or as many samples as are wanted have come. */
+/** Pulls until the stream ends or `wanted` samples have arrived. */
 async function pull(origin: string, after = '', wanted = Number.POSITIVE_INFINITY): Promise<Pulled> {
 	const pulled: Pulled = {ids: [], cursor: after, end: undefined};
 	const parser = createParser({
@@ -64,7 +64,7 @@
 	return pulled;
 }
 
-describe('the trainers\' routes', () => {
+describe('addStepRoutes', () => {
 	let world: World;
 	let first: RunningEntry;
 	let second: RunningEntry;
@@ -81,7 +81,7 @@
 		await Promise.all([first.server.kill(), second.server.kill()]);
 	});
 
-	it('pass exchanges on to the entry that runs the step', async () => {
+	it('relays requests to the entry that runs the step', async () => {
 		expect(await send(first.origin, '/v1/steps', order)).to.have.property('status', 201);
 		await waitUntilOwned(first);
 		expect(await send(second.origin, '/v1/steps', order)).to.have.property('status', 201);
@@ -92,7 +92,7 @@
 		expect([first.runner.openSteps, second.runner.openSteps, world.endpoints.generated]).to.deep.equal([1, 0, 4]);
 	});
 
-	it('go on at another entry when the one that ran the step is dead', async () => {
+	it('resumes the step at another entry after its owner has died', async () => {
 		await send(first.origin, '/v1/steps', order);
 		await waitUntilOwned(first);
 		const before = await pull(first.origin, '', 2);
@@ -103,7 +103,7 @@
 		expect([...before.ids, ...after.ids].toSorted((a, b) => a.localeCompare(b))).to.deep.equal(['step-1/0/0', 'step-1/0/1', 'step-1/1/0', 'step-1/1/1']);
 	});
 
-	it('say that the step goes on elsewhere when its entry leaves', async () => {
+	it('ends the stream with `moved` when the owner of the step leaves', async () => {
 		world.endpoints.treat = () => 'hang';
 		await send(first.origin, '/v1/steps', order);
 		const pulling = pull(first.origin);
@@ -113,7 +113,7 @@
 		expect(pulled.end).to.equal('moved');
 	});
 
-	it('refuse what is not valid, and name the field', async () => {
+	it('rejects invalid requests and names the field', async () => {
 		const refusals: Array<[path: string, body: unknown, status: number, detail: string]> = [
 			['/v1/steps', '{', 400, 'JSON'],
 			['/v1/steps', {...order, profile: 'none'}, 400, 'profile'],
--- a/packages/entry/__tests__/tokens.spec.ts
+++ b/packages/entry/__tests__/tokens.spec.ts
@@ -4,17 +4,17 @@
 import {checkToken} from '../src/tokens.js';
 
 function createRequest(authorization?: string): IncomingMessage {
-	// The check looks at this header only.
+	// The check reads only this header.
 	return {headers: {authorization}} as unknown as IncomingMessage;
 }
 
 describe('checkToken', () => {
-	it('takes any of the tokens', () => {
+	it('accepts each of the tokens', () => {
 		checkToken(createRequest('Bearer a'), ['a', 'b']);
 		checkToken(createRequest('Bearer b'), ['a', 'b']);
 	});
 
-	it('refuses all else', () => {
+	it('rejects missing, malformed and unknown tokens', () => {
 		for (const authorization of [undefined, '', 'Bearer ', 'Bearer c', 'Bearer aa', 'Basic a']) {
 			expect(() => {
 				checkToken(createRequest(authorization), ['a', 'b']);
@@ -22,7 +22,7 @@
 		}
 	});
 
-	it('asks for none where none is set, which settings allow on loopback only', () => {
+	it('accepts any request if no token is set, which settings allow on loopback only', () => {
 		checkToken(createRequest(), []);
 	});
 });
--- a/packages/entry/__tests__/writable.spec.ts
+++ b/packages/entry/__tests__/writable.spec.ts
@@ -4,7 +4,7 @@
 
 describe('waitUntilWritable', () => {
 	for (const event of ['drain', 'close']) {
-		it(`resolves on ${event} and leaves no listener`, async () => {
+		it(`resolves on ${event} and removes its listeners`, async () => {
 			const response = new Writable();
 			const waiting = waitUntilWritable(response);
 			response.emit(event);
@@ -14,7 +14,7 @@
 		});
 	}
 
-	it('waits as long as neither comes', async () => {
+	it('waits until drain or close is emitted', async () => {
 		const response = new Writable();
 		let isResolved = false;
 		const waiting = waitUntilWritable(response).then(() => {
--- a/packages/entry/src/completions-body.ts
+++ b/packages/entry/src/completions-body.ts
@@ -54,7 +54,7 @@
 	hasUsage: boolean;
 };
 
-function createCompletionRequest(body: z.infer<typeof bodySchemas.text | typeof bodySchemas.chat>, input: Pick<GenerationRequest, 'prompt' | 'messages'>, maxTokens: number | undefined): CompletionRequest {
+function createRequest(body: z.infer<typeof bodySchemas.text | typeof bodySchemas.chat>, input: Pick<GenerationRequest, 'prompt' | 'messages'>, maxTokens: number | undefined): CompletionRequest {
 	return {
 		generation: {
 			model: body.model,
@@ -70,8 +70,8 @@
 
 /** Schemas that parse the body of each shape into a completion request. */
 export const requestSchemas = {
-	text: bodySchemas.text.transform(body => createCompletionRequest(body, {prompt: body.prompt}, body.max_tokens ?? undefined)),
-	chat: bodySchemas.chat.transform(body => createCompletionRequest(body, {messages: body.messages}, body.max_completion_tokens ?? body.max_tokens ?? undefined)),
+	text: bodySchemas.text.transform(body => createRequest(body, {prompt: body.prompt}, body.max_tokens ?? undefined)),
+	chat: bodySchemas.chat.transform(body => createRequest(body, {messages: body.messages}, body.max_completion_tokens ?? body.max_tokens ?? undefined)),
 } as const;
 
 /** Returns the input of the model as text; requests that share a prefix of it can share cached state. */
