--- a/packages/agent/__tests__/agent.bench.ts
+++ b/packages/agent/__tests__/agent.bench.ts
@@ -1,6 +1,8 @@
 /**
- * `npx tsx packages/agent/__tests__/agent.bench.ts`: streamed tokens and whole calls a second over one link through one
- * agent, with the stand-in engine, the agent and the other end of the link in this one process.
+ * Measures streamed tokens and completed calls per second over one link through one agent. The simulated engine, the
+ * agent and the other end of the link run in the same process.
+ *
+ * Run with `npx tsx packages/agent/__tests__/agent.bench.ts`.
  */
 import process from 'node:process';
 import {acknowledgeEvery, LinkClient, type MessageOf} from '@wasabiusher/link';
@@ -8,7 +10,7 @@
 import {EngineServer, PlatformServer} from '@wasabiusher/standins';
 import {Agent, agentSettingsSchema} from '../src/index.js';
 
-/** Time before counting and while counting, in milliseconds. */
+/** Warm-up and measurement time, in milliseconds. */
 const warmUpMs = 1000;
 const countMs = 5000;
 
@@ -143,7 +145,7 @@
 }
 
 for (const load of loads) {
-	// Loads follow one another.
+	// Loads run sequentially.
 	// eslint-disable-next-line no-await-in-loop
 	await run(load);
 }
--- a/packages/agent/__tests__/agent.spec.ts
+++ b/packages/agent/__tests__/agent.spec.ts
@@ -7,7 +7,7 @@
 import {EngineServer, PlatformServer} from '@wasabiusher/standins';
 import {Agent, agentSettingsSchema} from '../src/index.js';
 
-/** An entry as far as an agent sees it. */
+/** The side of an entry that an agent communicates with. */
 class FakeEntry {
 	readonly received: Message[] = [];
 	readonly downs: string[] = [];
@@ -49,10 +49,10 @@
 		return this.received.find(message => message.kind === kind && test(message as MessageOf<Kind>)) as MessageOf<Kind> | undefined;
 	}
 
-	/** Waits, by what arrives and not by time, until the condition holds. */
+	/** Waits until the condition holds; checks it after each event rather than by time. */
 	async until(holds: () => boolean): Promise<void> {
 		while (!holds()) {
-			// Each event waits for the one before.
+			// Events are awaited sequentially.
 			// eslint-disable-next-line no-await-in-loop
 			await new Promise<void>(resolve => {
 				this.#wake = resolve;
@@ -115,7 +115,7 @@
 
 const isFinished = (entry: FakeEntry, name: string) => entry.get('part', ({request: other, event}) => other === name && event.kind === 'finished') !== undefined;
 
-describe('agent', () => {
+describe('Agent', () => {
 	let platform: PlatformServer;
 	let engine: EngineServer;
 	let agent: Agent;
@@ -141,7 +141,7 @@
 		await platform.stop();
 	});
 
-	it('drains with a stream open: nothing is cut off, nothing new is taken, links end last', async () => {
+	it('completes an open stream while it drains, refuses new requests, and closes links last', async () => {
 		entry.send(createOpen('long', 40));
 		await entry.until(() => listTexts(entry, 'long').length > 0);
 		const drained = agent.drain();
@@ -157,7 +157,7 @@
 		expect(isFinished(entry, 'long')).to.equal(true);
 	});
 
-	it('waits while it drains for the acknowledgement of a whole answer', async () => {
+	it('waits for the acknowledgement of a complete answer while it drains', async () => {
 		entry.isAcknowledging = false;
 		entry.send(createOpen('a', 2));
 		await entry.until(() => isFinished(entry, 'a'));
@@ -165,7 +165,7 @@
 		const drained = agent.drain().then(() => {
 			isDrained = true;
 		});
-		// Each goes there and back on the link, which must not end meanwhile.
+		// Each request makes a round trip on the link, which must stay open meanwhile.
 		for (const late of ['late-1', 'late-2', 'late-3', 'late-4', 'late-5']) {
 			entry.send(createOpen(late, 1));
 			// eslint-disable-next-line no-await-in-loop
@@ -178,7 +178,7 @@
 		await drained;
 	});
 
-	it('reports a crash of the engine for all that was in flight, whoever sent it', async () => {
+	it('reports a crash of the engine for all requests in flight, to each of their entries', async () => {
 		const other = new FakeEntry(agent.address, 'entry-2');
 		await other.until(() => other.get('status') !== undefined);
 		entry.send(createOpen('a', 1000));
@@ -195,7 +195,7 @@
 		other.close();
 	});
 
-	it('stops the engine when a caller is gone, and says so when that is confirmed', async () => {
+	it('stops a cancelled request at the engine, and reports when that is confirmed', async () => {
 		entry.send(createOpen('a', 1000));
 		await entry.until(() => listTexts(entry, 'a').length > 0);
 		entry.send({kind: 'cancel', request: 'a', attempt: 1});
@@ -206,7 +206,7 @@
 		expect(engine.tokensMade - made, 'tokens of the stopped run').to.equal(5);
 	});
 
-	it('reports the version that the engine has, not the one that was ordered', async () => {
+	it('reports the version that the engine has rather than the one that was ordered', async () => {
 		engine.switches.loadsToFail = 1;
 		entry.send({
 			kind: 'order', order: 'o1', fence: 1, body: {kind: 'load', model: 'trail', version: 4},
@@ -222,7 +222,7 @@
 		expect([...new Set(versions)]).to.deep.equal([3, 4]);
 	});
 
-	it('refuses an order of an older fence and changes nothing', async () => {
+	it('rejects an order under an older fence', async () => {
 		for (const [order, fence, version] of [['new', 5, 4], ['old', 4, 9]] as const) {
 			entry.send({
 				kind: 'order', order, fence, body: {kind: 'load', model: 'trail', version},
@@ -236,7 +236,7 @@
 		expect(metrics).to.contain('wasabiusher_agent_fence 5');
 	});
 
-	it('does not start on an address that others reach while it has no keys', async () => {
+	it('does not start on a non-loopback address without link keys', async () => {
 		const open = new Agent(agentSettingsSchema.parse({
 			name: 'agent-2', listen: '0.0.0.0:0', dataCentre: 'muroran', service: 'models', endpointKind: 'model', endpoint: 'http://127.0.0.1:9', platform: 'http://127.0.0.1:9',
 		}), createSilentLog());
@@ -247,7 +247,7 @@
 		expect(error).to.be.instanceOf(RangeError).with.property('message').that.contains('--link-keys');
 	});
 
-	it('announces itself, and its leaving', async () => {
+	it('announces itself, and announces that it is leaving', async () => {
 		const member = {
 			id: 'agent-1', role: 'agent', address: agent.address, dataCentre: 'muroran', region: 'local', service: 'models',
 		};
@@ -256,19 +256,19 @@
 		expect(await platform.members.list()).to.deep.include({...member, state: 'leaving'});
 	});
 
-	it('keeps a stranger out, and counts it', async () => {
-		const stranger = new LinkClient({
+	it('rejects and counts a link with a wrong key', async () => {
+		const impostor = new LinkClient({
 			address: agent.address, identity: {name: 'entry-1', keys: ['guess']}, random: new Random(1), onUp: () => undefined, onDown: () => undefined, onMessage: () => undefined,
 		});
 		let metrics = '';
 		while (!metrics.includes('link_errors_total{code="unauthorized"}')) {
-			// Each look waits for the one before.
+			// Polls sequentially.
 			// eslint-disable-next-line no-await-in-loop
 			const {text} = await get(agent, '/metrics');
 			metrics = text;
 		}
 
-		stranger.close();
+		impostor.close();
 		expect(entry.isUp, 'the link of the same name stays').to.equal(true);
 	});
 });
--- a/packages/agent/__tests__/fixtures.ts
+++ b/packages/agent/__tests__/fixtures.ts
@@ -1,16 +1,16 @@
 /**
- * Fixtures of the agent's tests: an engine whose reports, orders and failures the test sets.
+ * Fixtures of the agent's tests: an engine with reports, orders and failures scripted by the test.
  */
 import {
 	PlatformError, type Engine, type EngineOrder, type EngineReport,
 } from '@wasabiusher/backends';
 
-/** An engine of which only orders and reports matter; it ignores fences unless told otherwise. */
-export class OrderedEngine implements Pick<Engine, 'order' | 'report'> {
+/** An engine that implements only orders and reports; it ignores fences unless `honoursFence` is set. */
+export class FakeEngine implements Pick<Engine, 'order' | 'report'> {
 	readonly orders: Array<{order: EngineOrder; fence: number}> = [];
 	honoursFence = false;
 	isReachable = true;
-	/** Given once to the next order: what happens instead of it. */
+	/** Replaces the effect of the next order, once. */
 	nextOrder: ((order: EngineOrder) => Promise<void>) | undefined;
 	#highest = 0;
 	readonly #report: EngineReport = {
@@ -21,7 +21,7 @@
 		return this.#report.models.find(({model}) => model === 'trail')?.version;
 	}
 
-	/** The process of the engine is another one. */
+	/** Replaces the process of the engine by one with another start id. */
 	restart(startId: string): void {
 		this.#report.startId = startId;
 		this.putInForce({kind: 'load', model: 'trail', version: 1});
@@ -51,7 +51,7 @@
 		}
 	}
 
-	/** Takes effect, whoever asked for it and whenever. */
+	/** Applies an order regardless of its sender, its fence and its time. */
 	putInForce(order: EngineOrder): void {
 		if (order.kind === 'load') {
 			this.#report.models = [{model: order.model, version: order.version}];
@@ -60,7 +60,7 @@
 		}
 	}
 
-	/** This engine as the whole interface; nothing else of it is called. */
+	/** Returns this engine as the full interface, of which no other method is called. */
 	asEngine(): Engine {
 		return this as unknown as Engine;
 	}
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -1,5 +1,5 @@
 /**
- * The agent: wires links, the executor, orders and the endpoint together.
+ * The agent process: connects the links, the executor, the order handler and the endpoint.
  */
 import {Registry, collectDefaultMetrics} from 'prom-client';
 import {addOperationRoutes, HttpServer, type Daemon} from '@wasabiusher/daemon';
@@ -15,40 +15,40 @@
 import {
 	ConfigurationAdopter, Executor, Invariants, pollUntil, type ConfigurationMessage, type ConfigurationOutput, type Endpoint,
 } from '@wasabiusher/systems';
-import {EndpointWatch} from './endpoint-watch.js';
+import {EndpointWatch} from './endpoint-monitor.js';
 import {FenceFloor} from './fence-floor.js';
 import {LinkHub} from './link-hub.js';
 import {AgentMetrics, type AgentState} from './metrics.js';
-import {OrderDesk} from './order-desk.js';
+import {OrderHandler} from './order-handler.js';
 import {PoisonRelay} from './poison-relay.js';
 import {resolveKeys, type AgentSettings} from './settings.js';
-import {StatusPace} from './status-pace.js';
+import {StatusThrottle} from './status-throttle.js';
 
-/** How often the endpoint is asked for its report and entries are told what changed, in milliseconds. */
-const reportMs = 200;
+/** Interval at which the endpoint's report is read and changes are published to entries, in milliseconds. */
+const reportIntervalMs = 200;
 
-/** How often the agent announces itself, in milliseconds. */
-const announceMs = 5000;
+/** Interval at which the agent announces itself in the membership list, in milliseconds. */
+const announceIntervalMs = 5000;
 
-/** Longest wait for the end of runs of a model that is to be unloaded, in milliseconds. */
-const retireMs = 30_000;
+/** Maximum wait for running requests of a model that is about to be unloaded, in milliseconds. */
+const retireTimeoutMs = 30_000;
 
-/** How often digests are looked after, in milliseconds. */
-const configurationMs = 1000;
+/** Interval at which the configuration adopter runs, in milliseconds. */
+const configurationTickMs = 1000;
 
-/** Longest wait for the acknowledgement of whole answers by an agent that leaves, in milliseconds: what a lost link takes to be replaced. */
-const acknowledgeMs = 6000;
+/** Maximum wait of a leaving agent for the acknowledgement of complete answers, in milliseconds: the time in which a lost link is replaced. */
+const acknowledgementTimeoutMs = 6000;
 
-/** How an endpoint of each kind is reached. */
-const endpoints: Readonly<Record<AgentSettings['endpointKind'], (settings: AgentSettings) => Endpoint>> = {
+/** Creates the client of an endpoint, by kind. */
+const endpointFactories: Readonly<Record<AgentSettings['endpointKind'], (settings: AgentSettings) => Endpoint>> = {
 	model: ({endpoint, endpointAdapter}) => ({kind: 'model', engine: engineAdapters[endpointAdapter](endpoint)}),
 	plain: ({endpoint, endpointAdapter}) => ({kind: 'plain', service: plainServiceAdapters[endpointAdapter](endpoint)}),
 };
 
-/** Handlers of the messages that an agent takes, by kind. */
-type Handlers = Partial<{[Kind in Message['kind']]: (link: Link, message: MessageOf<Kind>) => void}>;
+/** Handlers of incoming messages, by kind. */
+type MessageHandlers = Partial<{[Kind in Message['kind']]: (link: Link, message: MessageOf<Kind>) => void}>;
 
-/** One agent beside one endpoint. */
+/** An agent, which serves one endpoint. */
 export class Agent implements Daemon {
 	readonly #settings: AgentSettings;
 	readonly #log: Log;
@@ -56,16 +56,16 @@
 	readonly #registry = new Registry();
 	readonly #metrics: AgentMetrics;
 	readonly #membership: MembershipList;
-	readonly #watch: EndpointWatch;
+	readonly #monitor: EndpointWatch;
 	readonly #executor: Executor;
-	readonly #floor: FenceFloor;
-	readonly #orders: OrderDesk | undefined;
-	readonly #poison: PoisonRelay;
+	readonly #fenceFloor: FenceFloor;
+	readonly #orderHandler: OrderHandler | undefined;
+	readonly #poisonRelay: PoisonRelay;
 	readonly #adopter: ConfigurationAdopter;
 	readonly #invariants: Invariants;
-	readonly #pace = new StatusPace();
-	readonly #handlers: Handlers;
-	readonly #hub = this.#createHub();
+	readonly #statusThrottle = new StatusThrottle();
+	readonly #handlers: MessageHandlers;
+	readonly #linkHub = this.#createLinkHub();
 	readonly #timers: NodeJS.Timeout[] = [];
 	#linkServer: LinkServer | undefined;
 	#address = '';
@@ -73,44 +73,44 @@
 
 	constructor(settings: AgentSettings, log: Log) {
 		const {name, service, limit, maxWaiting} = settings;
-		const endpoint = endpoints[settings.endpointKind](settings);
+		const endpoint = endpointFactories[settings.endpointKind](settings);
 		const {members, tables} = platformAdapters[settings.platformAdapter](settings.platform);
 		this.#settings = settings;
 		this.#log = log;
 		this.#membership = members;
-		this.#floor = new FenceFloor(tables, `${service}/${name}`);
+		this.#fenceFloor = new FenceFloor(tables, `${service}/${name}`);
 		this.#metrics = new AgentMetrics(this.#registry, () => this.#readState());
-		this.#poison = new PoisonRelay(name, (message, except) => {
-			this.#hub.broadcast(message, except);
+		this.#poisonRelay = new PoisonRelay(name, (message, except) => {
+			this.#linkHub.broadcast(message, except);
 		});
 		this.#invariants = new Invariants(log, this.#registry);
 		this.#adopter = new ConfigurationAdopter({
 			name, dataCentre: settings.dataCentre, log, random: new Random(hashToNumber(name)), invariants: this.#invariants, onAdopted: () => undefined,
 		});
-		this.#watch = this.#createWatch(endpoint);
+		this.#monitor = this.#createMonitor(endpoint);
 		this.#executor = new Executor({
 			service,
 			endpoint,
 			limit,
 			maxWaiting,
 			log,
-			send: (peer, message) => this.#hub.send(peer, message),
-			judge: fingerprint => this.#poison.judge(fingerprint),
-			checkCrash: async () => this.#watch.checkCrash(),
+			send: (peer, message) => this.#linkHub.send(peer, message),
+			judge: fingerprint => this.#poisonRelay.judge(fingerprint),
+			checkCrash: async () => this.#monitor.checkCrash(),
 			onFinished: fingerprint => {
-				this.#poison.recordFinished(fingerprint);
+				this.#poisonRelay.recordFinished(fingerprint);
 			},
 			observe: event => {
 				this.#metrics.recordRequest(event);
 			},
 		});
-		this.#orders = this.#createOrderDesk(endpoint);
+		this.#orderHandler = this.#createOrderHandler(endpoint);
 		this.#handlers = this.#createHandlers();
 		collectDefaultMetrics({register: this.#registry});
-		addOperationRoutes(this.#http, this.#registry, () => this.#watch.state.isHealthy && !this.#isLeaving);
+		addOperationRoutes(this.#http, this.#registry, () => this.#monitor.state.isHealthy && !this.#isLeaving);
 	}
 
-	/** `ip:port` in use, once started. */
+	/** Listening address as `ip:port`; empty before `start` resolves. */
 	get address(): string {
 		return this.#address;
 	}
@@ -124,7 +124,7 @@
 
 		this.#linkServer = new LinkServer(this.#http.server, {
 			identity: {name, keys},
-			onLink: link => this.#hub.accept(link),
+			onLink: link => this.#linkHub.accept(link),
 			onReject: error => {
 				this.#metrics.recordLinkError(error.code);
 				this.#log.warn('link_refused', {code: error.code, reason: error.message});
@@ -136,25 +136,25 @@
 		this.#timers.push(
 			setInterval(() => {
 				void this.#refresh();
-			}, reportMs),
+			}, reportIntervalMs),
 			setInterval(() => {
 				void this.#announce();
-			}, announceMs),
+			}, announceIntervalMs),
 			setInterval(() => {
 				void this.#tickConfiguration();
-			}, configurationMs),
+			}, configurationTickMs),
 		);
 		this.#log.info('agent_started', {address: this.#address, service: this.#settings.service});
 	}
 
-	/** Takes no new work, and ends when all that it has taken is answered and acknowledged. */
+	/** Accepts no new work; resolves when all accepted work is answered, and acknowledged or `acknowledgementTimeoutMs` have passed. */
 	async drain(): Promise<void> {
 		this.#isLeaving = true;
 		const drained = this.#executor.drain();
-		this.#tellStatus(true);
+		this.#publishStatus(true);
 		const announced = this.#announce();
 		await drained;
-		await pollUntil(() => this.#executor.countUnacknowledged() === 0, acknowledgeMs);
+		await pollUntil(() => this.#executor.countUnacknowledged() === 0, acknowledgementTimeoutMs);
 		await announced;
 		for (const timer of this.#timers) {
 			clearInterval(timer);
@@ -168,30 +168,30 @@
 		this.#log.info('agent_drained');
 	}
 
-	#createWatch(endpoint: Endpoint): EndpointWatch {
+	#createMonitor(endpoint: Endpoint): EndpointWatch {
 		return new EndpointWatch(endpoint, {
 			onReport: report => {
 				this.#executor.reportHeld(report.running + report.waiting);
-				this.#orders?.compare(report);
+				this.#orderHandler?.reconcile(report);
 			},
 			onCrash: incarnation => {
 				const fingerprints = this.#executor.crash();
 				this.#metrics.recordCrash();
 				this.#log.error('endpoint_crashed', {incarnation, inFlight: fingerprints.length});
-				this.#poison.recordCrash(incarnation, fingerprints);
+				this.#poisonRelay.recordCrash(incarnation, fingerprints);
 			},
 		});
 	}
 
-	#createOrderDesk(endpoint: Endpoint): OrderDesk | undefined {
+	#createOrderHandler(endpoint: Endpoint): OrderHandler | undefined {
 		return endpoint.kind === 'model'
-			? new OrderDesk({
+			? new OrderHandler({
 				engine: endpoint.engine,
-				floor: this.#floor,
+				floor: this.#fenceFloor,
 				log: this.#log,
 				retire: async model => {
-					const retired = this.#executor.retire(model, retireMs);
-					this.#tellStatus(true);
+					const retired = this.#executor.retire(model, retireTimeoutMs);
+					this.#publishStatus(true);
 					return retired;
 				},
 				restore: model => {
@@ -204,7 +204,7 @@
 			: undefined;
 	}
 
-	#createHandlers(): Handlers {
+	#createHandlers(): MessageHandlers {
 		return {
 			open: ({peer}, message) => {
 				this.#executor.open(peer, message);
@@ -219,7 +219,7 @@
 				this.#executor.resume(peer, message);
 			},
 			order: (link, message) => {
-				void this.#order(link, message);
+				void this.#executeOrder(link, message);
 			},
 			configuration: ({peer}, message) => {
 				this.#receiveConfiguration(peer, message);
@@ -231,15 +231,15 @@
 				this.#receiveConfiguration(peer, message);
 			},
 			suspicions: ({peer}, message) => {
-				this.#poison.receive(message, peer);
+				this.#poisonRelay.receive(message, peer);
 			},
 		};
 	}
 
-	#createHub(): LinkHub {
+	#createLinkHub(): LinkHub {
 		return new LinkHub({
 			onUp: peer => {
-				this.#greet(peer);
+				this.#sendInitialState(peer);
 			},
 			onDown: peer => {
 				this.#executor.detach(peer);
@@ -257,14 +257,14 @@
 		});
 	}
 
-	/** Tells an entry whose link came up what it needs to know. */
-	#greet(peer: string): void {
+	/** Sends the status, the configuration state and suspicions to an entry whose link came up. */
+	#sendInitialState(peer: string): void {
 		this.#executor.attach(peer);
-		this.#hub.send(peer, {kind: 'status', status: this.#describe()});
+		this.#linkHub.send(peer, {kind: 'status', status: this.#describe()});
 		this.#sendAll(this.#adopter.onLinkUp(peer));
-		const suspicions = this.#poison.list();
+		const suspicions = this.#poisonRelay.list();
 		if (suspicions.length > 0) {
-			this.#hub.send(peer, {kind: 'suspicions', suspicions});
+			this.#linkHub.send(peer, {kind: 'suspicions', suspicions});
 		}
 	}
 
@@ -278,25 +278,25 @@
 
 	#sendAll(outputs: readonly ConfigurationOutput[]): void {
 		for (const {to, message} of outputs) {
-			this.#hub.send(to, message);
+			this.#linkHub.send(to, message);
 		}
 	}
 
-	async #order(link: Link, {order, fence, body}: MessageOf<'order'>): Promise<void> {
-		const result = await this.#orders?.execute(body, fence) ?? {outcome: 'failed', detail: 'this endpoint takes no orders'};
+	async #executeOrder(link: Link, {order, fence, body}: MessageOf<'order'>): Promise<void> {
+		const result = await this.#orderHandler?.execute(body, fence) ?? {outcome: 'failed', detail: 'a plain endpoint accepts no orders'};
 		await this.#refresh();
 		link.send({kind: 'ordered', order, ...result});
 	}
 
 	async #refresh(): Promise<void> {
-		const wasHealthy = this.#watch.state.isHealthy;
-		await this.#watch.refresh();
-		const {isHealthy, error} = this.#watch.state;
+		const wasHealthy = this.#monitor.state.isHealthy;
+		await this.#monitor.refresh();
+		const {isHealthy, error} = this.#monitor.state;
 		if (wasHealthy && !isHealthy) {
 			this.#log.warn('endpoint_unreachable', {reason: error === undefined ? undefined : describeError(error)});
 		}
 
-		this.#tellStatus();
+		this.#publishStatus();
 	}
 
 	async #announce(): Promise<void> {
@@ -310,15 +310,15 @@
 		}
 	}
 
-	#tellStatus(isUrgent = false): void {
+	#publishStatus(isUrgent = false): void {
 		const status = this.#describe();
-		if (this.#pace.shouldTell(status, this.#hub.size, performance.now()) || isUrgent) {
-			this.#hub.broadcast({kind: 'status', status});
+		if (this.#statusThrottle.shouldSend(status, this.#linkHub.size, performance.now()) || isUrgent) {
+			this.#linkHub.broadcast({kind: 'status', status});
 		}
 	}
 
 	#describe(): EndpointStatus {
-		const {isHealthy, report} = this.#watch.state;
+		const {isHealthy, report} = this.#monitor.state;
 		return {
 			...this.#executor.describe(),
 			models: (report?.models ?? []).filter(({model}) => !this.#executor.isRetired(model)),
@@ -326,11 +326,11 @@
 			isHealthy,
 			isLeaving: this.#isLeaving,
 			configurationVersion: this.#adopter.accepted.version,
-			fence: this.#floor.fence,
+			fence: this.#fenceFloor.fence,
 		};
 	}
 
 	#readState(): AgentState {
-		return {status: this.#describe(), links: this.#hub.size, bufferedBytes: this.#hub.bufferedBytes};
+		return {status: this.#describe(), links: this.#linkHub.size, bufferedBytes: this.#linkHub.bufferedBytes};
 	}
 }
--- a/packages/agent/src/endpoint-watch.ts
+++ b/packages/agent/src/endpoint-monitor.ts
@@ -1,38 +1,38 @@
 /**
- * Watches the endpoint: its health, what it reports, and whether it has crashed.
+ * Monitors the endpoint: its health, its reports and its crashes.
  */
 import type {EngineReport} from '@wasabiusher/backends';
 import type {Endpoint} from '@wasabiusher/systems';
 
-/** What is known of the endpoint from its last report. */
+/** State of the endpoint as of its last probe. */
 export type EndpointState = {
 	isHealthy: boolean;
-	/** Of a model engine; undefined until its first report. */
+	/** Last report of a model engine; undefined before the first one. */
 	report?: EngineReport;
-	/** Why it is not healthy. */
+	/** Error of the last probe if the endpoint is not healthy. */
 	error?: unknown;
 };
 
-export type WatchListener = {
+export type EndpointListener = {
 	onReport(report: EngineReport): void;
-	/** @param incarnation - names the run of the endpoint that has ended */
+	/** @param incarnation - identifies the process of the endpoint that has ended */
 	onCrash(incarnation: string): void;
 };
 
-/** What one look at an endpoint of each kind brings. */
-type Look = {report?: EngineReport; isHealthy: boolean};
+/** Result of one probe. */
+type ProbeResult = {report?: EngineReport; isHealthy: boolean};
 
-/** One endpoint under watch. */
+/** Monitors one endpoint. */
 export class EndpointWatch {
 	readonly #endpoint: Endpoint;
-	readonly #listener: WatchListener;
+	readonly #listener: EndpointListener;
 	#state: EndpointState = {isHealthy: false};
-	/** The run of the endpoint that is known to have ended, until another is seen. */
-	#crashed: string | undefined;
+	/** Incarnation of the endpoint that is known to have ended, until a new one reports. */
+	#crashedIncarnation: string | undefined;
 	#refreshing: Promise<void> | undefined;
 	#checking: Promise<boolean> | undefined;
 
-	constructor(endpoint: Endpoint, listener: WatchListener) {
+	constructor(endpoint: Endpoint, listener: EndpointListener) {
 		this.#endpoint = endpoint;
 		this.#listener = listener;
 	}
@@ -41,27 +41,27 @@
 		return this.#state;
 	}
 
-	/** Looks at the endpoint; several callers share one look. Never rejects. */
+	/** Probes the endpoint; concurrent calls share one probe. Never rejects. */
 	async refresh(): Promise<void> {
-		this.#refreshing ??= this.#look().finally(() => {
+		this.#refreshing ??= this.#probe().finally(() => {
 			this.#refreshing = undefined;
 		});
 		await this.#refreshing;
 	}
 
 	/**
-	 * Whether the endpoint has crashed, asked when a stream broke off. An engine that answers under the same
-	 * start id has not; one that does not answer has.
+	 * Returns whether the endpoint has crashed; called when a stream was interrupted. An engine that reports the same
+	 * start id has not crashed; one that does not respond has.
 	 */
 	async checkCrash(): Promise<boolean> {
-		this.#checking ??= this.#check().finally(() => {
+		this.#checking ??= this.#detectCrash().finally(() => {
 			this.#checking = undefined;
 		});
 		return this.#checking;
 	}
 
-	async #check(): Promise<boolean> {
-		// A look that is under way may have been answered before the crash.
+	async #detectCrash(): Promise<boolean> {
+		// A probe in progress may have been answered before the crash.
 		await this.#refreshing;
 		const before = this.#state.report?.startId;
 		await this.refresh();
@@ -73,14 +73,14 @@
 		return before !== this.#state.report?.startId;
 	}
 
-	async #look(): Promise<void> {
+	async #probe(): Promise<void> {
 		try {
-			const {report, isHealthy} = await look(this.#endpoint);
+			const {report, isHealthy} = await probeEndpoint(this.#endpoint);
 			const before = this.#state.report?.startId;
 			this.#state = {isHealthy, report};
 			if (before !== undefined && before !== report?.startId) {
 				this.#recordCrash(before);
-				this.#crashed = undefined;
+				this.#crashedIncarnation = undefined;
 			}
 
 			if (report) {
@@ -91,16 +91,16 @@
 		}
 	}
 
-	/** Each run of an endpoint crashes once. */
+	/** Reports a crash at most once per incarnation. */
 	#recordCrash(incarnation: string): void {
-		if (this.#crashed !== incarnation) {
-			this.#crashed = incarnation;
+		if (this.#crashedIncarnation !== incarnation) {
+			this.#crashedIncarnation = incarnation;
 			this.#listener.onCrash(incarnation);
 		}
 	}
 }
 
-async function look(endpoint: Endpoint): Promise<Look> {
+async function probeEndpoint(endpoint: Endpoint): Promise<ProbeResult> {
 	if (endpoint.kind === 'plain') {
 		return {isHealthy: await endpoint.service.check()};
 	}
--- a/packages/agent/src/errors.ts
+++ b/packages/agent/src/errors.ts
@@ -1,12 +1,12 @@
 /**
- * What can go wrong in an agent itself.
+ * Errors of the agent itself.
  */
 import {LayerError} from '@wasabiusher/shared';
 
 /**
- * - `floor-unknown`: the highest fence of the endpoint could not be read or kept in the store, so no order is carried out
- * - `busy`: runs that an order would cut off did not end in time
- * - `not-in-force`: the engine took an order but does not report it to be in force
+ * - `floor-unknown`: the highest fence of the endpoint could not be read from or written to the store, so the order is not executed
+ * - `busy`: running requests that an order would cut off did not end in time
+ * - `not-in-force`: the engine accepted an order but does not report it as in force
  */
 export type AgentErrorCode = 'floor-unknown' | 'busy' | 'not-in-force';
 
--- a/packages/agent/src/fence-floor.ts
+++ b/packages/agent/src/fence-floor.ts
@@ -1,8 +1,8 @@
 /**
- * The highest fence under which an order was carried out at this endpoint, kept in the store so that it outlives the agent.
+ * Stores the highest fence (fencing token) under which an order was executed at this endpoint, so that it outlives the agent.
  *
- * Written before the first order of each fence, which is once for each change of the lease, and read once
- * after a start. Without it, a holder whose lease has lapsed could give orders to an agent that was restarted.
+ * It is written before the first order under each fence, that is once per change of the lease holder, and read once
+ * after a start. Without it, a former holder whose lease has expired could order a restarted agent.
  */
 import {PlatformError, type TableService} from '@wasabiusher/backends';
 import {z} from 'zod';
@@ -12,36 +12,36 @@
 
 const rowSchema = z.object({fence: z.int().nonnegative()});
 
-/** Attempts to write, each after reading again; another agent of the same name is the only rival. */
+/** Maximum number of write attempts, each after a new read. Only another agent of the same name can cause a conflict. */
 const maxAttempts = 3;
 
-/** The floor of one endpoint. */
+/** The lowest fence that one endpoint accepts. */
 export class FenceFloor {
 	readonly #tables: TableService;
 	readonly #key: string;
 	#fence = 0;
 	#version: number | undefined;
 
-	/** @param key - names the endpoint among all */
+	/** @param key - identifies the endpoint, unique among all */
 	constructor(tables: TableService, key: string) {
 		this.#tables = tables;
 		this.#key = key;
 	}
 
-	/** The highest fence known here; not to be trusted before `raise` has once succeeded. */
+	/** Highest fence known to this process; may be too low until `raise` has succeeded once. */
 	get fence(): number {
 		return this.#fence;
 	}
 
 	/**
-	 * Raises the floor to a fence; true if that may give orders, false if a higher one has.
-	 * Throws `AgentError` (`floor-unknown`) if the store can not tell or keep it.
+	 * Raises the floor to a fence. Returns true if orders under that fence are allowed, false if a higher one is known.
+	 * Throws an `AgentError` (`floor-unknown`) if the floor cannot be read from or written to the store.
 	 */
 	async raise(fence: number): Promise<boolean> {
 		for (let attempt = 1; attempt <= maxAttempts; attempt += 1) {
-			// Attempts follow one another.
+			// Attempts are sequential.
 			// eslint-disable-next-line no-await-in-loop
-			await this.#learn();
+			await this.#load();
 			if (fence <= this.#fence) {
 				return fence === this.#fence;
 			}
@@ -50,11 +50,11 @@
 			await this.#write(fence);
 		}
 
-		throw new AgentError('floor-unknown', `fence ${fence} could not be kept in ${maxAttempts} attempts`);
+		throw new AgentError('floor-unknown', `fence ${fence} could not be stored in ${maxAttempts} attempts`);
 	}
 
-	/** Reads the row unless it is known. */
-	async #learn(): Promise<void> {
+	/** Reads the row unless its current version is known. */
+	async #load(): Promise<void> {
 		if (this.#version !== undefined) {
 			return;
 		}
@@ -64,11 +64,11 @@
 			this.#fence = Math.max(this.#fence, row ? rowSchema.parse(row.value).fence : 0);
 			this.#version = row?.version ?? 0;
 		} catch (error) {
-			throw new AgentError('floor-unknown', 'the floor can not be read', error);
+			throw new AgentError('floor-unknown', 'the highest fence cannot be read from the store', error);
 		}
 	}
 
-	/** Writes the row; if that is in doubt or lost a race, the row is to be read again. */
+	/** Writes the row. After a conflict or an unknown result, the next attempt reads the row again. */
 	async #write(fence: number): Promise<void> {
 		const expect = this.#version;
 		this.#version = undefined;
@@ -79,9 +79,9 @@
 			this.#version = version;
 			this.#fence = fence;
 		} catch (error) {
-			const isSettledByReading = error instanceof PlatformError && (error.code === 'conflict' || error.code === 'unknown');
-			if (!isSettledByReading) {
-				throw new AgentError('floor-unknown', 'the floor can not be kept', error);
+			const isResolvedByReading = error instanceof PlatformError && (error.code === 'conflict' || error.code === 'unknown');
+			if (!isResolvedByReading) {
+				throw new AgentError('floor-unknown', 'the highest fence cannot be written to the store', error);
 			}
 		}
 	}
--- a/packages/agent/src/index.ts
+++ b/packages/agent/src/index.ts
@@ -1,8 +1,8 @@
-/** The agent beside each endpoint. */
+/** The agent: one process per endpoint, which connects it to the entries. */
 export * from './agent.js';
 export * from './settings.js';
-export {fullPaceLinks, msPerLink} from './status-pace.js';
-export * from './endpoint-watch.js';
+export {fullPaceLinks, msPerLink} from './status-throttle.js';
+export * from './endpoint-monitor.js';
 export * from './fence-floor.js';
-export * from './order-desk.js';
+export * from './order-handler.js';
 export * from './poison-relay.js';
--- a/packages/agent/src/link-hub.ts
+++ b/packages/agent/src/link-hub.ts
@@ -1,21 +1,21 @@
 /**
- * The links of an agent to its entries, by the entry's name.
+ * Manages the links of an agent to entries, by name of the entry.
  */
 import type {
 	Link, LinkError, LinkListener, Message,
 } from '@wasabiusher/link';
 
 export type LinkHubListener = {
-	/** An entry is linked, newly or again; it may be sent to. */
+	/** Called when an entry is linked for the first time or again; messages can be sent to it. */
 	onUp(peer: string): void;
-	/** An entry is no longer linked. */
+	/** Called when an entry is no longer linked. */
 	onDown(peer: string): void;
 	onMessage(link: Link, message: Message): void;
-	/** A link was lost, or a message on it was not understood. */
+	/** Called when a link was lost, or a message on it was not understood. */
 	onError(peer: string, error: LinkError): void;
 };
 
-/** One link an entry: a newer one replaces the older, which may not have noticed yet that it is lost. */
+/** Keeps one link per entry. A newer link replaces the older one, whose loss may not have been detected yet. */
 export class LinkHub {
 	readonly #links = new Map<string, Link>();
 	readonly #listener: LinkHubListener;
@@ -28,7 +28,7 @@
 		return this.#links.size;
 	}
 
-	/** Bytes that wait for slow readers. */
+	/** Number of bytes buffered for slow readers, on all links. */
 	get bufferedBytes(): number {
 		return [...this.#links.values()].reduce((sum, {bufferedBytes}) => sum + bufferedBytes, 0);
 	}
@@ -51,7 +51,7 @@
 		};
 	}
 
-	/** False if the entry has no link at present. */
+	/** Sends a message to an entry; returns false if there is no link to it. */
 	send(peer: string, message: Message): boolean {
 		const link = this.#links.get(peer);
 		link?.send(message);
--- a/packages/agent/src/main.ts
+++ b/packages/agent/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher-agent`: one process beside each endpoint.
+ * The `wasabiusher-agent` daemon: one process per endpoint.
  */
 import {loadSettings, runDaemon} from '@wasabiusher/daemon';
 import {Log} from '@wasabiusher/shared';
--- a/packages/agent/src/metrics.ts
+++ b/packages/agent/src/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * The agent's metrics.
+ * Metrics of the agent.
  */
 import {
 	Counter, Gauge, Histogram, type Registry,
@@ -7,12 +7,12 @@
 import type {EndpointStatus, LinkErrorCode} from '@wasabiusher/link';
 import type {ExecutorEvent} from '@wasabiusher/systems';
 
-/** Bounds in seconds, from a plain call on loopback to a long rollout. */
+/** Upper bounds in seconds, from a plain call on loopback to a long rollout. */
 const durationBuckets = [0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 180];
 
 export type AgentState = {status: EndpointStatus; links: number; bufferedBytes: number};
 
-/** Counts and gauges of one agent. */
+/** Counters, histograms and gauges of one agent. */
 export class AgentMetrics {
 	readonly #refusals: Counter<'reason'>;
 	readonly #waitSeconds: Histogram;
@@ -21,7 +21,7 @@
 	readonly #crashes: Counter;
 	readonly #linkErrors: Counter<'code'>;
 
-	/** @param read - the state at the time of a scrape */
+	/** @param read - returns the state at the time of a scrape */
 	constructor(registry: Registry, read: () => AgentState) {
 		const registers = [registry];
 		this.#refusals = new Counter({
@@ -66,7 +66,7 @@
 	}
 }
 
-/** Gauges, each read at the time of a scrape. */
+/** Name, help text and reader of each gauge, which is read at the time of a scrape. */
 const gauges: ReadonlyArray<[name: string, help: string, read: (state: AgentState) => number]> = [
 	['running', 'Requests at the endpoint, draining ones included', ({status}) => status.running],
 	['draining', 'Requests told to stop and not confirmed, and those from before this agent started', ({status}) => status.draining ?? 0],
--- a/packages/agent/src/poison-relay.ts
+++ b/packages/agent/src/poison-relay.ts
@@ -1,28 +1,28 @@
 /**
- * What an agent knows of requests that crash endpoints.
+ * Records and exchanges suspicions against poison requests, the requests that crash endpoints.
  *
- * The agent is the witness: it knows what was in flight at a crash, from whichever entries it came. Entries
- * of one pool share agents, so what one agent tells reaches all of them in a few hops.
+ * Only the agent knows all requests that were in flight at a crash, since they come from several entries. Entries of
+ * one pool share agents, so the suspicions of one agent reach all of them in a few hops.
  */
 import {PoisonGuard, type Verdict} from '@wasabiusher/decisions';
 import type {Message, MessageOf} from '@wasabiusher/link';
 import {SuspicionExchange} from '@wasabiusher/systems';
 
-/** Sends to all linked entries but one. */
+/** Sends a message to all linked entries except one. */
 export type Broadcast = (message: Message, except?: string) => void;
 
-/** The exchange of suspicions, as the witness of one endpoint takes part in it. */
+/** Takes part in the exchange of suspicions on behalf of one endpoint. */
 export class PoisonRelay {
 	readonly #endpoint: string;
 	readonly #exchange: SuspicionExchange;
 
-	/** @param endpoint - names this endpoint in the record of a crash */
+	/** @param endpoint - name of this endpoint in crash records */
 	constructor(endpoint: string, broadcast: Broadcast) {
 		this.#endpoint = endpoint;
 		this.#exchange = new SuspicionExchange({guard: new PoisonGuard(), broadcast});
 	}
 
-	/** How a request with this content may run. */
+	/** Returns how a request with this fingerprint may run. */
 	judge(fingerprint: string): Verdict['kind'] {
 		return this.#exchange.judge(fingerprint).kind;
 	}
@@ -31,17 +31,17 @@
 		this.#exchange.recordCrash({endpoint: this.#endpoint, incarnation, fingerprints});
 	}
 
-	/** What finishes did not crash anything; entries are told if they might think so. */
+	/** Clears a suspicion: a request that finishes has not crashed the endpoint. Notifies entries that may suspect it. */
 	recordFinished(fingerprint: string): void {
 		this.#exchange.recordFinished(fingerprint);
 	}
 
-	/** Takes what an entry knows, and passes on what is news here. */
+	/** Merges the suspicions of an entry, and forwards those that were unknown here. */
 	receive(message: MessageOf<'suspicions'>, from: string): void {
 		this.#exchange.receive(from, message);
 	}
 
-	/** For an entry whose link comes up. */
+	/** Returns the suspicions to send to an entry whose link came up. */
 	list(): MessageOf<'suspicions'>['suspicions'] {
 		return this.#exchange.createGreeting()?.suspicions ?? [];
 	}
