--- a/packages/entry/src/agent-links.ts
+++ b/packages/entry/src/agent-links.ts
@@ -91,7 +91,7 @@
 		return this.#entries;
 	}
 
-	/** Number of links that are up, and of all links, including those that are being closed. */
+	/** Number of links that are up, and of all links: those in the subset and those that are still in use. */
 	get counts(): {up: number; all: number} {
 		const agents = [...this.#agents.values()];
 		return {up: agents.filter(({client}) => client.isUp).length, all: agents.length};
--- a/packages/entry/src/agent-subset.ts
+++ b/packages/entry/src/agent-subset.ts
@@ -28,8 +28,8 @@
 	readonly #owner: SubsetOwner;
 	readonly #choices = new Map<string, {signature: string; chosen: string[]}>();
 
-	constructor(viewer: SubsetOwner) {
-		this.#owner = viewer;
+	constructor(owner: SubsetOwner) {
+		this.#owner = owner;
 	}
 
 	/** Returns the names of the agents to link to. */
@@ -56,23 +56,23 @@
 
 	/** Groups of the own data centre and, for each service, of up to `farDataCentres` others. */
 	#listEligibleGroups(groups: ReadonlyMap<string, AgentGroup>): Map<string, AgentGroup> {
-		const {dataCentre: home, region: homeRegion} = this.#owner;
-		const far = [...groups.values()].filter(({dataCentre}) => dataCentre !== home);
+		const {dataCentre: ownDataCentre, region: ownRegion} = this.#owner;
+		const remoteGroups = [...groups.values()].filter(({dataCentre}) => dataCentre !== ownDataCentre);
 		return new Map([...groups].filter(([, {dataCentre, service}]) => {
-			const others = far.filter(group => group.service === service);
-			const near = new Set(others.filter(({region}) => region === homeRegion).map(group => group.dataCentre));
+			const others = remoteGroups.filter(group => group.service === service);
+			const sameRegion = new Set(others.filter(({region}) => region === ownRegion).map(group => group.dataCentre));
 			// Ranked by the name of the own data centre, so that all of its entries select the same others.
-			const ranked = orderByRank(`far/${home}`, others.map(group => group.dataCentre));
-			const chosen = [...ranked.filter(name => near.has(name)), ...ranked.filter(name => !near.has(name))].slice(0, farDataCentres);
-			return dataCentre === home || chosen.includes(dataCentre);
+			const ranked = orderByRank(`far/${ownDataCentre}`, others.map(group => group.dataCentre));
+			const chosen = [...ranked.filter(name => sameRegion.has(name)), ...ranked.filter(name => !sameRegion.has(name))].slice(0, farDataCentres);
+			return dataCentre === ownDataCentre || chosen.includes(dataCentre);
 		}));
 	}
 
 	#chooseFromGroup(key: string, {dataCentre, agents}: AgentGroup, entries: string[]): string[] {
 		const signature = JSON.stringify([entries, agents]);
-		const known = this.#choices.get(key);
-		if (known?.signature === signature) {
-			return known.chosen;
+		const cached = this.#choices.get(key);
+		if (cached?.signature === signature) {
+			return cached.chosen;
 		}
 
 		const degree = dataCentre === this.#owner.dataCentre ? defaultDegree : farDegree;
--- a/packages/entry/src/claims.ts
+++ b/packages/entry/src/claims.ts
@@ -79,7 +79,7 @@
 		await this.#peers.endAccepted();
 	}
 
-	/** Resolves when all calls have ended and are recorded, or the time limit for recording has passed. */
+	/** Resolves when all calls have ended and are recorded, or the maximum wait of `ClaimedCalls.drain` has passed. */
 	async drain(): Promise<void> {
 		await this.#calls.drain();
 		this.#peers.stop();
