--- a/packages/agent/__tests__/endpoint-monitor.spec.ts
+++ b/packages/agent/__tests__/endpoint-monitor.spec.ts
@@ -1,12 +1,12 @@
 import {expect} from 'chai';
 import type {EngineReport} from '@wasabiusher/backends';
-import {EndpointWatch} from '../src/endpoint-monitor.js';
+import {EndpointMonitor} from '../src/endpoint-monitor.js';
 import {FakeEngine} from './fixtures.js';
 
 function createMonitor(engine: FakeEngine) {
 	const crashes: string[] = [];
 	const reports: EngineReport[] = [];
-	const monitor = new EndpointWatch({kind: 'model', engine: engine.asEngine()}, {
+	const monitor = new EndpointMonitor({kind: 'model', engine: engine.asEngine()}, {
 		onReport(report) {
 			reports.push(report);
 		},
--- a/packages/agent/src/agent.ts
+++ b/packages/agent/src/agent.ts
@@ -15,7 +15,7 @@
 import {
 	ConfigurationAdopter, Executor, Invariants, pollUntil, type ConfigurationMessage, type ConfigurationOutput, type Endpoint,
 } from '@wasabiusher/systems';
-import {EndpointWatch} from './endpoint-monitor.js';
+import {EndpointMonitor} from './endpoint-monitor.js';
 import {FenceFloor} from './fence-floor.js';
 import {LinkHub} from './link-hub.js';
 import {AgentMetrics, type AgentState} from './metrics.js';
@@ -56,7 +56,7 @@
 	readonly #registry = new Registry();
 	readonly #metrics: AgentMetrics;
 	readonly #membership: MembershipList;
-	readonly #monitor: EndpointWatch;
+	readonly #monitor: EndpointMonitor;
 	readonly #executor: Executor;
 	readonly #fenceFloor: FenceFloor;
 	readonly #orderHandler: OrderHandler | undefined;
@@ -161,17 +161,17 @@
 		}
 
 		const {running} = this.#executor.describe();
-		this.#invariants.checkNothingCutOff(running + this.#executor.countUnacknowledged());
+		this.#invariants.checkNothingOpen(running + this.#executor.countUnacknowledged());
 		this.#executor.close();
 		await this.#linkServer?.end();
 		await this.#http.close();
 		this.#log.info('agent_drained');
 	}
 
-	#createMonitor(endpoint: Endpoint): EndpointWatch {
-		return new EndpointWatch(endpoint, {
+	#createMonitor(endpoint: Endpoint): EndpointMonitor {
+		return new EndpointMonitor(endpoint, {
 			onReport: report => {
-				this.#executor.reportHeld(report.running + report.waiting);
+				this.#executor.updateReportedRuns(report.running + report.waiting);
 				this.#orderHandler?.reconcile(report);
 			},
 			onCrash: incarnation => {
--- a/packages/agent/src/endpoint-monitor.ts
+++ b/packages/agent/src/endpoint-monitor.ts
@@ -23,7 +23,7 @@
 type ProbeResult = {report?: EngineReport; isHealthy: boolean};
 
 /** Monitors one endpoint. */
-export class EndpointWatch {
+export class EndpointMonitor {
 	readonly #endpoint: Endpoint;
 	readonly #listener: EndpointListener;
 	#state: EndpointState = {isHealthy: false};
--- a/packages/agent/src/poison-relay.ts
+++ b/packages/agent/src/poison-relay.ts
@@ -43,6 +43,6 @@
 
 	/** Returns the suspicions to send to an entry whose link came up. */
 	list(): MessageOf<'suspicions'>['suspicions'] {
-		return this.#exchange.createGreeting()?.suspicions ?? [];
+		return this.#exchange.createSnapshot()?.suspicions ?? [];
 	}
 }
--- a/packages/agent/src/status-throttle.ts
+++ b/packages/agent/src/status-throttle.ts
@@ -12,10 +12,10 @@
 const maxSilenceMs = 1000;
 
 /** Number of links up to which every change of load is sent; today's deployments have fewer entries than that. */
-export const fullPaceLinks = 4;
+export const unthrottledLinks = 4;
 
-/** Minimum interval between two messages per link above `fullPaceLinks`, in milliseconds: 2.2 s at 15 links, so that an entry with 88 links receives 9 KB/s. */
-export const msPerLink = 200;
+/** Minimum interval between two messages per link above `unthrottledLinks`, in milliseconds: 2.2 s at 15 links, so that an entry with 88 links receives 9 KB/s. */
+export const minIntervalPerLinkMs = 200;
 
 /** Throttles the status messages of one agent by the status that was sent last. */
 export class StatusThrottle {
@@ -30,7 +30,7 @@
 	 */
 	shouldSend(status: EndpointStatus, links: number, now: number): boolean {
 		const elapsedMs = now - this.#lastAt;
-		const minIntervalMs = Math.max(0, links - fullPaceLinks) * msPerLink;
+		const minIntervalMs = Math.max(0, links - unthrottledLinks) * minIntervalPerLinkMs;
 		const isUpdateDue = !isDeepStrictEqual(status, this.#last) && (elapsedMs >= minIntervalMs || affectsEligibility(status, this.#last));
 		if (!isUpdateDue && elapsedMs < Math.max(maxSilenceMs, minIntervalMs)) {
 			return false;
--- a/packages/batches/__tests__/batches.spec.ts
+++ b/packages/batches/__tests__/batches.spec.ts
@@ -421,11 +421,11 @@
 		await waitFor(a!.batches.submit('1', createSubmission(3, {samples})));
 		await waitFor(b!.batches.submit('2', createSubmission(1, {model: 'other'})));
 		await clock.tickAsync(500);
-		expect([a, b].map(process => [...process!.batches.listNeeds()])).to.deep.equal(Array.from({length: 2}, () => [
+		expect([a, b].map(process => [...process!.batches.listDemands()])).to.deep.equal(Array.from({length: 2}, () => [
 			['m', {work: 121, longest: 90}], ['other', {work: 1, longest: 1}],
 		]));
 		await clock.tickAsync(21_000);
-		expect(a!.batches.listNeeds().size).to.equal(0);
+		expect(a!.batches.listDemands().size).to.equal(0);
 	});
 
 	it('returns a result within 0.1 s to a trainer that waits at a process that does not own its batch', async () => {
--- a/packages/batches/__tests__/dedicated-endpoints.spec.ts
+++ b/packages/batches/__tests__/dedicated-endpoints.spec.ts
@@ -35,7 +35,7 @@
 			id: 'x', shares: [share, share], series: 't', isEnded: false, object: '', total: 8, model: 'm', acceptedMs: 0,
 		});
 		const dedicatedEndpoints = new DedicatedEndpoints({
-			directory, listServices: () => new Set(['s']), findPublished: () => 1, findRecord: () => record,
+			directory, listServices: () => new Set(['s']), findPublishedVersion: () => 1, findRecord: () => record,
 		}, 0);
 		const first = dedicatedEndpoints.find();
 		expect(first?.size).to.equal(3);
--- a/packages/batches/__tests__/fixtures.ts
+++ b/packages/batches/__tests__/fixtures.ts
@@ -7,7 +7,7 @@
 } from '@wasabiusher/shared';
 import {TableFollower} from '@wasabiusher/record';
 import {
-	Batches, batchParts, BatchStore, batchTable, HostRegistry, hostTable, KeptTexts, type Submission,
+	Batches, batchParts, BatchStore, batchTable, HostRegistry, hostTable, RetainedTexts, type Submission,
 } from '../src/index.js';
 
 export function createRoute(changes: Partial<Route> = {}): Route {
@@ -80,11 +80,11 @@
 			id: 'sc', service: 'scorer', address: 'scorer', dataCentre: 'd', slots: 8, isDraining: false, models: [], orderCount: 0, coldMs: 0,
 		});
 		const hosts = new HostRegistry({
-			rows: store, host, log, ownsWork: () => batches.hasWork, listWaiting: () => batches.listWaiting(),
+			rows: store, host, log, hasWork: () => batches.hasWork, listWaiting: () => batches.listWaiting(),
 		});
 		const batches: Batches = new Batches({
-			store: new BatchStore(store, store), keptTexts: new KeptTexts(store), hosts, host, directory, client: serving, random, log,
-			findDeployment: () => deployment.current, findPublished: () => deployment.published, readStoreMs: () => performance.now(),
+			store: new BatchStore(store, store), retainedTexts: new RetainedTexts(store), hosts, host, directory, client: serving, random, log,
+			findDeployment: () => deployment.current, findPublishedVersion: () => deployment.published, readStoreMs: () => performance.now(),
 		});
 		const followers = [
 			new TableFollower({
@@ -98,7 +98,7 @@
 					hosts.apply(change);
 				},
 				onContact() {
-					hosts.noteContact();
+					hosts.recordContact();
 				},
 			}),
 		];
--- a/packages/batches/__tests__/host-registry.spec.ts
+++ b/packages/batches/__tests__/host-registry.spec.ts
@@ -58,7 +58,7 @@
 
 	function createRegistry(host: string, ownsWork: boolean, changes: Partial<HostRegistrySettings> = {}): HostRegistry {
 		const registry = new HostRegistry({
-			rows: store, host, log: createSilentLog(), ownsWork: () => ownsWork, ...changes,
+			rows: store, host, log: createSilentLog(), hasWork: () => ownsWork, ...changes,
 		});
 		registries.push(registry);
 		registry.start();
@@ -79,7 +79,7 @@
 				}
 
 				version = page.version;
-				registry.noteContact();
+				registry.recordContact();
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(50);
 			for (const host of hosts) {
-				host.noteContact();
+				host.recordContact();
 				host.isGone(owner.incarnation, 0);
 			}
 		}
@@ -235,7 +235,7 @@
 
 	it('lists the addresses of other hosts, and the hosts that are alive', async () => {
 		const linked = new HostRegistry({
-			rows: store, host: 'c', address: '127.0.0.1:7', log: createSilentLog(), ownsWork: () => true,
+			rows: store, host: 'c', address: '127.0.0.1:7', log: createSilentLog(), hasWork: () => true,
 		});
 		registries.push(linked);
 		linked.start();
--- a/packages/batches/__tests__/speed-rows.spec.ts
+++ b/packages/batches/__tests__/speed-rows.spec.ts
@@ -42,14 +42,14 @@
 		await clock.tickAsync(6000);
 		first.speeds.stop();
 		const second = await startHost('i2');
-		expect(second.directory.findClassMs('i2')).to.equal(26);
+		expect(second.directory.findPersistentMs('i2')).to.equal(26);
 		// The speed from the row was wrong: its own runs correct it, and then the row.
 		measure(second, 'i2', 56);
-		expect(second.directory.findClassMs('i2')).to.equal(56);
+		expect(second.directory.findPersistentMs('i2')).to.equal(56);
 		await clock.tickAsync(6000);
 		second.speeds.stop();
 		const third = await startHost('i2');
-		expect(third.directory.findClassMs('i2')).to.equal(56);
+		expect(third.directory.findPersistentMs('i2')).to.equal(56);
 		third.speeds.stop();
 	});
 
@@ -81,7 +81,7 @@
 		await clock.tickAsync(7000);
 		host.speeds.stop();
 		const later = await startHost('i1');
-		expect(later.directory.findClassMs('i1')).to.equal(30);
+		expect(later.directory.findPersistentMs('i1')).to.equal(30);
 		later.speeds.stop();
 	});
 });
--- a/packages/batches/src/batch-sweep.ts
+++ b/packages/batches/src/batch-sweep.ts
@@ -3,19 +3,19 @@
  */
 import {describeError, type Log} from '@wasabiusher/shared';
 import type {BatchStore} from './batch-store.js';
-import type {KeptTexts} from './retained-texts.js';
+import type {RetainedTexts} from './retained-texts.js';
 import type {KnownBatches} from './known-batches.js';
 
 export type SweepSettings = {
 	store: BatchStore;
-	keptTexts: KeptTexts;
+	retainedTexts: RetainedTexts;
 	known: KnownBatches;
 	log: Log;
 };
 
 /** Deletes ended batches accepted before, and texts retained before, a time on the store's clock in milliseconds. Never rejects. */
 export async function sweepBefore({
-	store, keptTexts: retainedTexts, known, log,
+	store, retainedTexts, known, log,
 }: SweepSettings, cutoffMs: number): Promise<void> {
 	const expired = [...known.values()].filter(({record}) => record.isEnded && record.acceptedMs < cutoffMs);
 	try {
--- a/packages/batches/src/batches.ts
+++ b/packages/batches/src/batches.ts
@@ -2,7 +2,7 @@
  * Accepts batches, runs the shares that this process owns, hands shares over and ends batches.
  */
 import type {RowChange} from '@wasabiusher/backends';
-import {defaultPolicy, TextLengths, type ModelNeed} from '@wasabiusher/decisions';
+import {defaultPolicy, GenerationLengths, type ModelDemand} from '@wasabiusher/decisions';
 import {describeError} from '@wasabiusher/shared';
 import {
 	findSeries, estimateWork, prepareSubmission, settleRetryMs, writeAccepted,
@@ -20,7 +20,7 @@
 import {handOverShare} from './handover.js';
 import type {HostRegistry} from './host-registry.js';
 import {RetainedTextFinder} from './retained-text-finder.js';
-import type {KeptTexts} from './retained-texts.js';
+import type {RetainedTexts} from './retained-texts.js';
 import {KnownBatches} from './known-batches.js';
 import {pause} from './pause.js';
 import {RetiredBatches} from './retired-batches.js';
@@ -36,7 +36,7 @@
 
 export type BatchesSettings = Omit<ShareOwnerSettings, 'checkpointBudget' | 'commitScheduler' | 'countEarlierOpen' | 'findDedicatedEndpoints' | 'lengths' | 'onConflict'> & {
 	store: BatchStore;
-	keptTexts: KeptTexts;
+	retainedTexts: RetainedTexts;
 	hosts: HostRegistry;
 	host: string;
 	dataCentre?: string;
@@ -50,7 +50,7 @@
 	readonly #known = new KnownBatches();
 	readonly #commitScheduler: CommitScheduler | undefined;
 	readonly #checkpointBudget = new CheckpointBudget();
-	readonly #lengths = new TextLengths();
+	readonly #lengths = new GenerationLengths();
 	/** Owned shares by name. */
 	readonly #owners = new Map<string, ShareOwner>();
 	/** Shares that are being started, by name and term. */
@@ -66,7 +66,7 @@
 	constructor(settings: BatchesSettings) {
 		this.#settings = settings;
 		const {
-			keptTexts: retainedTexts, dataCentre = '', log, random, policy = defaultPolicy, isStoreOpen = () => true,
+			retainedTexts, dataCentre = '', log, random, policy = defaultPolicy, isStoreOpen = () => true,
 		} = settings;
 		this.#commitScheduler = policy.commitsByWorth ? new CommitScheduler({isOpen: isStoreOpen, chance: () => random.next()}) : undefined;
 		const known = this.#known;
@@ -100,7 +100,7 @@
 	}
 
 	/** Recent demand of each model, by which endpoints are divided among models. */
-	listNeeds(): Map<string, ModelNeed> {
+	listDemands(): Map<string, ModelDemand> {
 		return this.#known.listDemands(this.#settings.readStoreMs());
 	}
 
@@ -151,7 +151,7 @@
 		const stored = await writeAccepted(store, record, rows);
 		if (stored) {
 			this.#updateBatch(stored, true);
-			await hosts.beat();
+			await hosts.sendHeartbeat();
 		} else {
 			await this.#confirmAccepted(id, submission.customer);
 		}
@@ -320,7 +320,7 @@
 
 		this.#starting.add(key);
 		// The process that assigned the share waits for a sign of life, so the heartbeat does not wait for the reads that follow.
-		void this.#settings.hosts.beat();
+		void this.#settings.hosts.sendHeartbeat();
 		try {
 			await this.#createOwner(stored, share, isNew);
 		} finally {
@@ -406,7 +406,7 @@
 			});
 			this.#owners.set(owner.name, owner);
 			owner.start();
-			await hosts.beat();
+			await hosts.sendHeartbeat();
 		} catch (error) {
 			log.warn('batch_not_begun', {batch: id, share, reason: describeError(error)});
 			await pause(settleRetryMs);
--- a/packages/batches/src/dedicated-endpoints.ts
+++ b/packages/batches/src/dedicated-endpoints.ts
@@ -13,7 +13,7 @@
 	/** Returns the services that may run the batch. */
 	listServices(): ReadonlySet<string>;
 	/** Returns the newest published version of a model; undefined if there is none. */
-	findPublished(model: string): number | undefined;
+	findPublishedVersion(model: string): number | undefined;
 	/** Returns the batch's row as last known. */
 	findRecord(): BatchRecord;
 };
@@ -44,7 +44,7 @@
 	}
 
 	#divide(): ReadonlySet<string> | undefined {
-		const {directory, listServices, findPublished: findPublishedVersion, findRecord} = this.#settings;
+		const {directory, listServices, findPublishedVersion, findRecord} = this.#settings;
 		const {shares, model} = findRecord();
 		if (shares.length === 1) {
 			return undefined;
@@ -57,7 +57,7 @@
 		const candidates = directory.list().filter(({service, isDraining, models}) => services.has(service) && !isDraining
 			&& (model === '' || models.some(loaded => loaded.model === model && loaded.version >= minWeightVersion)));
 		// All hosts receive persistent speeds. A host that does not know them yet may use endpoints of another share, as far as these report free capacity.
-		const {fast} = splitBySpeed(candidates.map(({id}) => ({id, versions: new Map(), paceMs: directory.findClassMs(id)})));
+		const {fast} = splitBySpeed(candidates.map(({id}) => ({id, versions: new Map(), paceMs: directory.findPersistentMs(id)})));
 		const fastIds = new Set(fast.map(({id}) => id));
 		const ids = divideEndpoints(candidates.map(({id, dataCentre}) => ({id, dataCentre, isFast: fastIds.has(id)})), shares.map(({dataCentre}) => dataCentre))[this.#share] ?? [];
 		return ids.length === 0 ? undefined : new Set(ids);
--- a/packages/batches/src/host-registry.ts
+++ b/packages/batches/src/host-registry.ts
@@ -108,13 +108,13 @@
 	/** Cores that this process may use; undefined if unknown. */
 	cores?: number;
 	/** Returns the event-loop lag of this process, in milliseconds. */
-	findLateMs?(): number;
+	findEventLoopLagMs?(): number;
 	/** Returns the wall-clock time of this host minus the store's clock, in milliseconds; undefined while unknown. */
-	readClockMs?(): number | undefined;
+	readClockOffsetMs?(): number | undefined;
 	/** Called with the clock offset that a host has reported, in milliseconds. */
-	onClock?(host: string, clockMs: number): void;
+	onClockOffset?(host: string, clockMs: number): void;
 	/** Whether this process owns work, so that it must send heartbeats. */
-	ownsWork(): boolean;
+	hasWork(): boolean;
 	/** Returns the number of samples that this process has not started, by model. */
 	listWaiting?(): Record<string, number>;
 	/** Returns paces of at most `maxCount` endpoints to report to other hosts, in milliseconds by endpoint id. */
@@ -166,9 +166,9 @@
 	/** Announces this process, and sends heartbeats while it owns work. */
 	start(): void {
 		this.#timer = setInterval(() => {
-			void this.beat();
+			void this.sendHeartbeat();
 		}, heartbeatMs);
-		void this.beat();
+		void this.sendHeartbeat();
 	}
 
 	/** Number of hosts that have sent a heartbeat and are not known to be gone. */
@@ -220,14 +220,14 @@
 	}
 
 	/** Sends a heartbeat if it is due; never rejects. */
-	async beat(): Promise<void> {
+	async sendHeartbeat(): Promise<void> {
 		const now = performance.now();
-		if (this.#settings.ownsWork()) {
+		if (this.#settings.hasWork()) {
 			this.#ownedAt = now;
 		}
 
 		const isResting = this.#isIdle(now);
-		const hasUnreported = !this.#hasAnnounced || (!this.#hasReportedClock && this.#settings.readClockMs?.() !== undefined);
+		const hasUnreported = !this.#hasAnnounced || (!this.#hasReportedClock && this.#settings.readClockOffsetMs?.() !== undefined);
 		const isDue = hasUnreported || !isResting || this.#hasReportedIdle !== isResting || now - this.#suspectedAt < heartbeatValidityMs;
 		if (!isDue || this.#unanswered >= maxUnansweredHeartbeats || this.#isLeaving) {
 			return;
@@ -267,7 +267,7 @@
 
 		this.#hosts.set(key, {...row, receivedAt: performance.now()});
 		if (row.clockMs !== undefined) {
-			this.#settings.onClock?.(key, row.clockMs);
+			this.#settings.onClockOffset?.(key, row.clockMs);
 		}
 
 		if (row.paces && row.incarnation !== this.incarnation) {
@@ -276,7 +276,7 @@
 	}
 
 	/** Records contact with the store. */
-	noteContact(): void {
+	recordContact(): void {
 		const now = performance.now();
 		if (now - this.#contactAt > maxContactGapMs) {
 			this.#silenceCountedFrom = now;
@@ -321,7 +321,7 @@
 		const isNew = now - this.#suspectedAt >= heartbeatValidityMs;
 		this.#suspectedAt = now;
 		if (isNew) {
-			void this.beat();
+			void this.sendHeartbeat();
 		}
 	}
 
@@ -336,7 +336,7 @@
 
 	async #write(isResting: boolean): Promise<void> {
 		const {
-			rows, host, address = '', dataCentre = '', cores = 0, findLateMs: findEventLoopLagMs, readClockMs: readClockOffsetMs,
+			rows, host, address = '', dataCentre = '', cores = 0, findEventLoopLagMs, readClockOffsetMs,
 		} = this.#settings;
 		const clockMs = readClockOffsetMs?.();
 		const waiting = this.#settings.listWaiting?.() ?? {};
--- a/packages/batches/src/index.ts
+++ b/packages/batches/src/index.ts
@@ -6,6 +6,6 @@
 export {
 	HostRegistry, hostTable, type HostRegistrySettings, type LiveHost,
 } from './host-registry.js';
-export {KeptTexts} from './retained-texts.js';
+export {RetainedTexts} from './retained-texts.js';
 export {batchParts} from './parts.js';
 export * from './speed-rows.js';
--- a/packages/batches/src/known-batches.ts
+++ b/packages/batches/src/known-batches.ts
@@ -1,7 +1,7 @@
 /**
  * Holds the rows of all batches as this process knows them from the feed of the batch table and from its own writes.
  */
-import type {ModelNeed} from '@wasabiusher/decisions';
+import type {ModelDemand} from '@wasabiusher/decisions';
 import {groupBy} from '@wasabiusher/shared';
 import type {BatchRecord, StoredBatch} from './batch.js';
 
@@ -89,7 +89,7 @@
 	}
 
 	/** Returns the recent demand of each model, by the time on the store's clock; endpoints are divided among models by it. */
-	listDemands(storeMs: number): Map<string, ModelNeed> {
+	listDemands(storeMs: number): Map<string, ModelDemand> {
 		const recent = [...this.#batches.values()].map(({record}) => record).filter(({model, acceptedMs}) => model !== '' && acceptedMs >= storeMs - demandAgeMs);
 		return new Map([...groupBy(recent, ({model}) => model)].map(([model, records]) => {
 			const last = records.toSorted((a, b) => b.acceptedMs - a.acceptedMs).slice(0, demandBatches);
--- a/packages/batches/src/queue-positions.ts
+++ b/packages/batches/src/queue-positions.ts
@@ -4,7 +4,7 @@
  * Load pattern: all samples of a step request slots at once, and scores of several steps compete for one scorer. Generations keep their planned order, also
  * when they return to the queue because their endpoint failed. A step that is nearly complete finishes earlier if its scores go first.
  */
-import type {CallPlace} from '@wasabiusher/direct';
+import type {QueuePosition} from '@wasabiusher/direct';
 import type {Route} from '@wasabiusher/shared';
 
 /** Fraction of a share's samples that must be complete or listed before its scores are queued with the urgency of the step itself. */
@@ -43,11 +43,11 @@
 	 * @param missing - number of samples of its group without a result
 	 * @param doneFraction - fraction of the share's samples that are complete or listed
 	 */
-	findScore(step: Route | undefined, scorer: Route, missing: number, doneFraction: number): CallPlace {
+	findScore(step: Route | undefined, scorer: Route, missing: number, doneFraction: number): QueuePosition {
 		const isUrgent = step !== undefined && doneFraction >= urgentFraction;
 		return {
 			kind: 'score', turn: this.#flow, dueAt: this.#dueAt, rank: missing, urgency: isUrgent ? Math.min(step.priority, scorer.priority) : scorer.priority,
-			patienceMs: scorer.objectiveMs,
+			maxWaitMs: scorer.objectiveMs,
 		};
 	}
 }
--- a/packages/batches/src/regenerations.ts
+++ b/packages/batches/src/regenerations.ts
@@ -3,10 +3,10 @@
  *
  * Regenerated texts never become results of the batch itself.
  */
-import type {SampleOutcome, SampleRun, SampleText} from '@wasabiusher/direct';
+import type {SampleOutcome, SampleRun, GeneratedText} from '@wasabiusher/direct';
 
 /** A regenerated text and whether it is complete. */
-export type RegeneratedText = {text: SampleText; isWhole: boolean};
+export type RegeneratedText = {text: GeneratedText; isWhole: boolean};
 
 type Regeneration = {run: SampleRun; abortController: AbortController; isWhole: boolean};
 
--- a/packages/batches/src/retained-text-finder.ts
+++ b/packages/batches/src/retained-text-finder.ts
@@ -5,7 +5,7 @@
 import type {BatchRecord, RetainedText, Submission} from './batch.js';
 import {scopeToCustomer} from './customers.js';
 import type {HostRegistry} from './host-registry.js';
-import type {KeptTexts} from './retained-texts.js';
+import type {RetainedTexts} from './retained-texts.js';
 import {demandAgeMs, type KnownBatches} from './known-batches.js';
 import {pause} from './pause.js';
 import type {RetiredBatches} from './retired-batches.js';
@@ -18,7 +18,7 @@
 const carriedOverFraction = 0.5;
 
 export type RetainedTextFinderSettings = {
-	keptTexts: KeptTexts;
+	retainedTexts: RetainedTexts;
 	retired: RetiredBatches;
 	known: KnownBatches;
 	hosts: HostRegistry;
@@ -42,7 +42,7 @@
 	 */
 	async find(submission: Submission, {shares}: BatchRecord, share: number, whenRetained: Promise<void>): Promise<Map<string, RetainedText>> {
 		const {samples, wantedGroups, step, customer} = submission;
-		const {keptTexts: retainedTexts, log} = this.#settings;
+		const {retainedTexts, log} = this.#settings;
 		const ours = new Set(listShareSamples(submission, share, shares.length).flatMap(({group}) => group ?? []));
 		const groups = [...new Set(samples.flatMap(({group}) => group ?? []))].slice(0, Math.ceil(wantedGroups * carriedOverFraction)).filter(group => ours.has(group));
 		if (step === 0 || groups.length === 0) {
--- a/packages/batches/src/retained-texts.ts
+++ b/packages/batches/src/retained-texts.ts
@@ -31,7 +31,7 @@
 export type GroupedText = {group: string; sample: string; text: RetainedText};
 
 /** Writes, finds and deletes retained texts. Throws `BatchError`. */
-export class KeptTexts {
+export class RetainedTexts {
 	readonly #rows: RowStore;
 
 	constructor(rows: RowStore) {
--- a/packages/batches/src/retired-batches.ts
+++ b/packages/batches/src/retired-batches.ts
@@ -3,7 +3,7 @@
  */
 import {describeError, type Log} from '@wasabiusher/shared';
 import type {ShareOwner} from './share-owner.js';
-import type {KeptTexts} from './retained-texts.js';
+import type {RetainedTexts} from './retained-texts.js';
 
 /**
  * Time for which runs of an ended batch continue, in milliseconds: a trainer takes about a second to submit its next batch, which needs their
@@ -15,13 +15,13 @@
 
 /** Shares of ended batches that this process owned. */
 export class RetiredBatches {
-	readonly #retainedTexts: KeptTexts;
+	readonly #retainedTexts: RetainedTexts;
 	readonly #log: Log;
 	readonly #retired = new Map<string, RetiredShare>();
 	/** Writes of retained texts in progress, with the series of their batches. */
 	readonly #writing = new Set<{series: string; done: Promise<void>}>();
 
-	constructor(retainedTexts: KeptTexts, log: Log) {
+	constructor(retainedTexts: RetainedTexts, log: Log) {
 		this.#retainedTexts = retainedTexts;
 		this.#log = log;
 	}
--- a/packages/batches/src/sample-texts.ts
+++ b/packages/batches/src/sample-texts.ts
@@ -1,7 +1,7 @@
 /**
  * Converts texts of samples between their stored and their runtime form, and chooses which stored text to resume.
  */
-import type {SampleText} from '@wasabiusher/direct';
+import type {GeneratedText} from '@wasabiusher/direct';
 import type {PartialText} from './batch.js';
 
 /** A text that a batch can resume. */
@@ -23,11 +23,11 @@
 }
 
 /** Converts a stored text to its runtime form. */
-export function toSampleText({events, versions}: PartialText): SampleText {
+export function toSampleText({events, versions}: PartialText): GeneratedText {
 	return {events: [...events], versions: new Set(versions)};
 }
 
 /** Converts a text to its stored form. */
-export function toPartialText({events, versions}: SampleText): PartialText {
+export function toPartialText({events, versions}: GeneratedText): PartialText {
 	return {events: [...events], versions: [...versions]};
 }
--- a/packages/batches/src/scoring.ts
+++ b/packages/batches/src/scoring.ts
@@ -5,7 +5,7 @@
  * slow call is hedged at a second endpoint, within the attempts that its route allows.
  */
 import {Buffer} from 'node:buffer';
-import {DirectCall, type CallPlace, type CallSettings} from '@wasabiusher/direct';
+import {DirectCall, type QueuePosition, type CallSettings} from '@wasabiusher/direct';
 import {findRoute, type Deployment, type Route} from '@wasabiusher/shared';
 import type {Sample} from './batch.js';
 import {pause} from './pause.js';
@@ -31,7 +31,7 @@
  * @param findPosition - returns the position in the wait queue of the host; determined by the route if undefined
  * @returns the stamp of the scorer's answer; undefined once calls have failed as often as the route allows, or after the signal has aborted
  */
-export async function scoreSample(settings: ScoringSettings, {id: sample, score}: Sample, signal: AbortSignal, findPosition?: (route: Route) => CallPlace): Promise<string | undefined> {
+export async function scoreSample(settings: ScoringSettings, {id: sample, score}: Sample, signal: AbortSignal, findPosition?: (route: Route) => QueuePosition): Promise<string | undefined> {
 	const {id, host, path, body} = score!;
 	const {log} = settings;
 	let failures = 0;
@@ -41,7 +41,7 @@
 		if (route) {
 			const call = new DirectCall(settings, {...route, kind: 'idempotent', maxAttempts: Math.min(maxOpenCalls, route.maxAttempts - failures)}, {
 				method: 'POST', path, host, headers: {}, body: Buffer.from(body, 'base64'), attemptId: id,
-				deadlineAt: performance.now() + Math.min(maxAttemptMs, route.timeoutMs), place: findPosition?.(route),
+				deadlineAt: performance.now() + Math.min(maxAttemptMs, route.timeoutMs), queuePosition: findPosition?.(route),
 			}, signal);
 			// Sequential, so that each attempt is counted before the next call.
 			// eslint-disable-next-line no-await-in-loop
--- a/packages/batches/src/share-owner.ts
+++ b/packages/batches/src/share-owner.ts
@@ -8,10 +8,10 @@
 import {setMaxListeners} from 'node:events';
 import PQueue from 'p-queue';
 import {
-	chooseRenewals, defaultPolicy, type Policy, type TextLengths,
+	chooseRegenerations, defaultPolicy, type Policy, type GenerationLengths,
 } from '@wasabiusher/decisions';
 import {
-	SampleRun, type CallPlace, type SampleOutcome, type SampleRequest, type SampleText,
+	SampleRun, type QueuePosition, type SampleOutcome, type SampleRequest, type GeneratedText,
 } from '@wasabiusher/direct';
 import {
 	applyCustomer, describeError, findRoute, type Route,
@@ -52,9 +52,9 @@
 	/** Limits how much of incomplete texts the process writes. */
 	checkpointBudget: CheckpointBudget;
 	/** Statistics of text lengths. */
-	lengths: TextLengths;
+	lengths: GenerationLengths;
 	/** Returns the newest published version of a model; undefined if there is none. */
-	findPublished(model: string): number | undefined;
+	findPublishedVersion(model: string): number | undefined;
 	/** Returns the time on the store's steady clock, in milliseconds. */
 	readStoreMs(): number;
 	/** Returns the ids of the endpoints that are dedicated to this share; undefined if it may use all of them equally. */
@@ -82,7 +82,7 @@
 	/** Aborts when the run is no longer wanted. */
 	signal: AbortSignal;
 	/** Text to continue from. */
-	text?: SampleText;
+	text?: GeneratedText;
 	/** Whether the run avoids endpoints that are known to have no free slot. */
 	avoidsFull?: boolean;
 };
@@ -121,7 +121,7 @@
 		this.#submission = submission;
 		this.#texts = new ShareTexts(inherited);
 		// With the host's wait queue all samples may wait there; without it this queue limits how many search for an endpoint at once.
-		this.#queue = new PQueue({concurrency: settings.line ? Number.POSITIVE_INFINITY : this.#countSlots()});
+		this.#queue = new PQueue({concurrency: settings.queue ? Number.POSITIVE_INFINITY : this.#countSlots()});
 		const {dueMs, timeoutMs = 0} = this.#findRoute() ?? {};
 		this.#positions = new QueuePositions(stored.record.series, this.#acceptedAt + (dueMs ?? timeoutMs), this.#planOrder());
 		this.#regenerations = new Regenerations((sample, minWeightVersion, signal) => this.#createRun(this.#getSample(sample), {minWeightVersion, signal, avoidsFull: true}));
@@ -241,7 +241,7 @@
 	}
 
 	/** Has a complete text scored, then adds its result. */
-	async completeSample(sample: Sample, text: SampleText): Promise<void> {
+	async completeSample(sample: Sample, text: GeneratedText): Promise<void> {
 		const completedAt = performance.now();
 		this.#texts.complete.set(sample.id, text);
 		this.#settings.lengths.record(this.#findLengthsKey(sample), sample.expectedTokens, text.events.length);
@@ -309,7 +309,7 @@
 	/** Starts regenerations of long samples whose groups the trainer may not wait for. */
 	#regenerate(): void {
 		const {wantedGroups, model} = this.#submission;
-		const publishedVersion = model === undefined ? undefined : this.#settings.findPublished(model);
+		const publishedVersion = model === undefined ? undefined : this.#settings.findPublishedVersion(model);
 		const groups = listGroups(this.#submission);
 		if (publishedVersion === undefined || !this.#policy.makesSecondTexts) {
 			return;
@@ -325,7 +325,7 @@
 		const texts = [...this.#texts.runs].filter(([id]) => !this.#texts.isCarriedOver(id)).map(([id, {text}]) => ({
 			id, events: text.events.length, oldestVersion: Math.min(...text.versions), isRenewed: this.#regenerations.has(id),
 		}));
-		for (const id of chooseRenewals(texts, publishedVersion)) {
+		for (const id of chooseRegenerations(texts, publishedVersion)) {
 			this.#settings.log.info('text_renewed', {
 				batch: this.id, sample: id, events: this.#texts.runs.get(id)?.text.events.length, published: publishedVersion,
 			});
@@ -352,7 +352,7 @@
 		return sampleOrders[this.#policy.sampleOrder](toOrderedSamples(samples, id => this.#texts.isCarriedOver(id)), wantedGroups).filter(id => this.#sampleIds.has(id));
 	}
 
-	#findScorePosition({group, id}: Sample, route: Route): CallPlace {
+	#findScorePosition({group, id}: Sample, route: Route): QueuePosition {
 		const missing = this.samples.filter(other => (group === undefined ? other.id === id : other.group === group) && !this.#results.has(other.id)).length;
 		const done = this.samples.filter(other => this.#results.has(other.id) || this.#texts.complete.has(other.id)).length;
 		return this.#positions.findScore(this.#findRoute(), route, missing, done / this.samples.length);
@@ -397,7 +397,7 @@
 		return this.#policy.plansTexts && !isRegeneration
 			? {
 				dueAt: dueMs === undefined ? undefined : this.#acceptedAt + (generationFraction * dueMs),
-				expectLeft: generatedCount => this.#settings.lengths.expectLeft(this.#findLengthsKey(sample), sample.expectedTokens, generatedCount),
+				expectLeft: generatedCount => this.#settings.lengths.estimateRemaining(this.#findLengthsKey(sample), sample.expectedTokens, generatedCount),
 			}
 			: {};
 	}
@@ -452,20 +452,20 @@
 	#createRun(sample: Sample, {
 		minWeightVersion, signal, text, avoidsFull,
 	}: RunPlan): SampleRun {
-		const {directory, client, log, random, findDedicatedEndpoints, line} = this.#settings;
+		const {directory, client, log, random, findDedicatedEndpoints, queue} = this.#settings;
 		const {host, model, customer} = this.#submission;
 		return new SampleRun({
-			directory, client, log, line, findRoute: () => this.#isRetired ? undefined : this.#findRoute(), chance: () => random.next(), findHomes: findDedicatedEndpoints,
+			directory, client, log, queue, findRoute: () => this.#isRetired ? undefined : this.#findRoute(), chance: () => random.next(), findDedicated: findDedicatedEndpoints,
 		}, {
 			id: sample.id,
 			batch: this.id,
 			model,
-			leastVersion: minWeightVersion,
+			minWeightVersion,
 			isSingleVersion: this.#findRoute()?.isSingleVersion ?? false,
 			group: sample.group,
 			deadlineAt: this.#findDeadline(),
 			avoidsFull,
-			place: this.#positions.findGeneration(sample.id),
+			queuePosition: this.#positions.findGeneration(sample.id),
 			...this.#planGeneration(sample, avoidsFull ?? false),
 			request: {
 				method: 'POST', path: sample.path, host, headers: sample.headers, body: Buffer.from(sample.body, 'base64'), customer,
--- a/packages/batches/src/share-planner.ts
+++ b/packages/batches/src/share-planner.ts
@@ -57,7 +57,7 @@
 		const chosen = chooseWorkers(this.#listCandidates(isLeaving), {
 			count,
 			samples: samples / count,
-			last: policy.keepsTrainers ? known.findNewest(series)?.shares.map(({owner}) => owner) ?? [] : [],
+			lastWorkers: policy.keepsTrainers ? known.findNewest(series)?.shares.map(({owner}) => owner) ?? [] : [],
 			endpoints: new Map([...groupBy(endpoints, endpoint => endpoint.dataCentre)].map(([name, found]) => [name, found.length])),
 			rank: id => rankCandidate(series, live.get(id)?.host ?? ''),
 		});
--- a/packages/batches/src/share-texts.ts
+++ b/packages/batches/src/share-texts.ts
@@ -1,7 +1,7 @@
 /**
  * The texts of one share's samples: those inherited from earlier owners and batches, those being generated, and complete ones.
  */
-import type {SampleRun, SampleText} from '@wasabiusher/direct';
+import type {SampleRun, GeneratedText} from '@wasabiusher/direct';
 import type {RetainedText, PartialText, SampleResult} from './batch.js';
 import type {PartialTexts} from './batch-store.js';
 import type {RegeneratedText} from './regenerations.js';
@@ -22,7 +22,7 @@
 	/** Active runs, and those that were active when the batch ended. */
 	readonly runs = new Map<string, SampleRun>();
 	/** Complete texts that wait for their score or for their commit. */
-	readonly complete = new Map<string, SampleText>();
+	readonly complete = new Map<string, GeneratedText>();
 	readonly #inherited: InheritedTexts;
 
 	constructor(inherited: InheritedTexts) {
--- a/packages/batches/src/speed-rows.ts
+++ b/packages/batches/src/speed-rows.ts
@@ -6,7 +6,7 @@
  */
 import {Buffer} from 'node:buffer';
 import {readPages, type RowStore} from '@wasabiusher/backends';
-import type {EndpointClass, EndpointDirectory} from '@wasabiusher/direct';
+import type {PersistentSpeed, EndpointDirectory} from '@wasabiusher/direct';
 import {describeError, type Log} from '@wasabiusher/shared';
 import {z} from 'zod';
 
@@ -71,20 +71,20 @@
 			for (const {value} of page.rows) {
 				const entry = decodeSpeed(value);
 				if (entry) {
-					directory.classes.learn(entry);
+					directory.persistentSpeeds.recordReported(entry);
 					validCount += 1;
 				}
 			}
 		}
 
-		directory.guessClasses();
+		directory.assumePersistentSpeeds();
 		this.#hasRead = true;
 		log.info('endpoint_speeds_read', {endpoints: validCount});
 	}
 
 	async #write(): Promise<void> {
 		const {rows, directory, log} = this.#settings;
-		const changed = directory.classes.listNews().slice(0, maxRows);
+		const changed = directory.persistentSpeeds.listUnpublished().slice(0, maxRows);
 		if (changed.length === 0) {
 			return;
 		}
@@ -96,13 +96,13 @@
 			})),
 			deletes: [],
 		});
-		directory.classes.noteTold(changed);
+		directory.persistentSpeeds.markPublished(changed);
 		log.info('endpoint_speeds_written', {endpoints: changed.length});
 	}
 }
 
 /** Decodes a stored speed; undefined if it is not valid, such as a row of a newer release. */
-function decodeSpeed(value: Uint8Array): EndpointClass | undefined {
+function decodeSpeed(value: Uint8Array): PersistentSpeed | undefined {
 	try {
 		return speedSchema.safeParse(JSON.parse(Buffer.from(value).toString())).data;
 	} catch {
--- a/packages/decisions/__tests__/attempt-backoff.spec.ts
+++ b/packages/decisions/__tests__/attempt-backoff.spec.ts
@@ -1,6 +1,6 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
-import {AttemptPause} from '../src/index.js';
+import {AttemptBackoff} from '../src/index.js';
 
 describe('AttemptPause', () => {
 	let clock: Clock;
@@ -15,7 +15,7 @@
 
 	it('allows one attempt at a time while an endpoint loads, and all attempts soon after it has loaded', async () => {
 		const loadedAt = 900;
-		const pause = new AttemptPause({firstMs: 50, longestMs: 150});
+		const pause = new AttemptBackoff({initialMs: 50, maxMs: 150});
 		let refused = 0;
 		let firstSuccessAt: number | undefined;
 		// Twenty samples wait; each tries as soon as it is allowed to, and is answered after 5 ms.
@@ -41,7 +41,7 @@
 		for (let ms = 0; ms < 1200; ms += 5) {
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(5);
-			for (let i = 0; i < 20 && pause.isOpen; i += 1) {
+			for (let i = 0; i < 20 && pause.canAttempt; i += 1) {
 				attempt();
 			}
 		}
@@ -52,13 +52,13 @@
 	});
 
 	it('allows the next attempt after one has ended without an answer', () => {
-		const pause = new AttemptPause({firstMs: 50, longestMs: 150});
+		const pause = new AttemptBackoff({initialMs: 50, maxMs: 150});
 		pause.record();
 		clock.tick(50);
-		expect(pause.isOpen).to.equal(true);
+		expect(pause.canAttempt).to.equal(true);
 		pause.begin();
-		expect(pause.isOpen).to.equal(false);
+		expect(pause.canAttempt).to.equal(false);
 		pause.end();
-		expect(pause.isOpen).to.equal(true);
+		expect(pause.canAttempt).to.equal(true);
 	});
 });
--- a/packages/decisions/__tests__/batch-shares.spec.ts
+++ b/packages/decisions/__tests__/batch-shares.spec.ts
@@ -11,7 +11,7 @@
 
 function createRequest(changes: Partial<WorkerRequest> = {}): WorkerRequest {
 	return {
-		count: 1, samples: 30, last: [], endpoints: new Map([['d1', 9], ['d2', 9]]), rank: id => Number(id.slice(1)), ...changes,
+		count: 1, samples: 30, lastWorkers: [], endpoints: new Map([['d1', 9], ['d2', 9]]), rank: id => Number(id.slice(1)), ...changes,
 	};
 }
 
@@ -45,7 +45,7 @@
 describe('chooseWorkers', () => {
 	it('keeps each share at its last host while that one is alive, responsive and has free capacity', () => {
 		const candidates = [createCandidate('c1', working), createCandidate('c2', working), createCandidate('c3')];
-		const request = createRequest({count: 2, last: ['c2', 'c1']});
+		const request = createRequest({count: 2, lastWorkers: ['c2', 'c1']});
 		expect(chooseWorkers(candidates, request)).to.deep.equal(['c2', 'c1']);
 		const changes: Array<Partial<WorkerCandidate>> = [{silentMs: 1000}, {lateMs: 60}, {samples: 120}];
 		for (const change of changes) {
--- a/packages/decisions/__tests__/concurrency-limit.spec.ts
+++ b/packages/decisions/__tests__/concurrency-limit.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {ConcurrencyLimit, LaggingLoad} from '../src/index.js';
+import {ConcurrencyLimit, LoadEstimator} from '../src/index.js';
 
 /** Runs a limit against an endpoint whose latency grows when more than `capacity` requests run. */
 function runRequests(limit: ConcurrencyLimit, capacity: number, from: number, rounds: number): void {
@@ -105,7 +105,7 @@
 
 describe('LaggingLoad', () => {
 	it('adds the requests sent since the report was measured', () => {
-		const load = new LaggingLoad();
+		const load = new LoadEstimator();
 		load.recordSent(100);
 		load.receive({load: 5, measuredAt: 150});
 		load.recordSent(200);
@@ -118,7 +118,7 @@
 	});
 
 	it('ignores an outdated report, and never counts less than its own requests', () => {
-		const load = new LaggingLoad();
+		const load = new LoadEstimator();
 		load.receive({load: 3, measuredAt: 200});
 		load.receive({load: 50, measuredAt: 100});
 		expect(load.load).to.equal(3);
@@ -129,7 +129,7 @@
 	});
 
 	it('trusts a report less, the more of its requests have ended since', () => {
-		const load = new LaggingLoad();
+		const load = new LoadEstimator();
 		load.recordSent(0);
 		load.receive({load: 11, measuredAt: 100});
 		expect(load.estimate(100, 200)).to.equal(11);
--- a/packages/decisions/__tests__/direct-choice.spec.ts
+++ b/packages/decisions/__tests__/direct-choice.spec.ts
@@ -1,10 +1,10 @@
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
-import {chooseDirect, listBetter, type DirectCandidate} from '../src/index.js';
+import {chooseDirect, listFasterEndpoints, type DirectCandidate} from '../src/index.js';
 
 function createCandidate(id: string, changes: Partial<DirectCandidate> = {}): DirectCandidate {
 	return {
-		id, slots: 8, open: 0, others: 0, paceMs: 40, isWarm: false, isHome: false, isConnected: false, ...changes,
+		id, slots: 8, open: 0, openElsewhere: 0, paceMs: 40, hasCachedPrefix: false, isDedicated: false, isConnected: false, ...changes,
 	};
 }
 
@@ -46,7 +46,7 @@
 	});
 
 	it('counts the requests of other processes', () => {
-		expect(chooseDirect([createCandidate('a', {others: 8}), createCandidate('b', {open: 5})], 0)!.id).to.equal('b');
+		expect(chooseDirect([createCandidate('a', {openElsewhere: 8}), createCandidate('b', {open: 5})], 0)!.id).to.equal('b');
 	});
 
 	it('prefers an open connection among otherwise equal endpoints', () => {
@@ -73,18 +73,18 @@
 	const fast = createCandidate('fast');
 
 	it('leaves an endpoint that is much slower than another with free capacity', () => {
-		expect(listBetter(createCandidate('slow', {paceMs: 130}), [fast], false)).to.have.length(1);
-		expect(listBetter(createCandidate('slow', {paceMs: 130}), [createCandidate('full', {open: 8})], false)).to.deep.equal([]);
+		expect(listFasterEndpoints(createCandidate('slow', {paceMs: 130}), [fast], false)).to.have.length(1);
+		expect(listFasterEndpoints(createCandidate('slow', {paceMs: 130}), [createCandidate('full', {open: 8})], false)).to.deep.equal([]);
 	});
 
 	it('leaves an endpoint that is a third slower only with a long run', () => {
 		const slower = createCandidate('slower', {paceMs: 52});
-		expect(listBetter(slower, [fast], false)).to.deep.equal([]);
-		expect(listBetter(slower, [fast], true)).to.have.length(1);
+		expect(listFasterEndpoints(slower, [fast], false)).to.deep.equal([]);
+		expect(listFasterEndpoints(slower, [fast], true)).to.have.length(1);
 	});
 
 	it('stays without measurements', () => {
-		expect(listBetter(createCandidate('new', {paceMs: undefined}), [fast], true)).to.deep.equal([]);
-		expect(listBetter(createCandidate('slow', {paceMs: 130}), [createCandidate('new', {paceMs: undefined})], true)).to.deep.equal([]);
+		expect(listFasterEndpoints(createCandidate('new', {paceMs: undefined}), [fast], true)).to.deep.equal([]);
+		expect(listFasterEndpoints(createCandidate('slow', {paceMs: 130}), [createCandidate('new', {paceMs: undefined})], true)).to.deep.equal([]);
 	});
 });
--- a/packages/decisions/__tests__/ejection.spec.ts
+++ b/packages/decisions/__tests__/ejection.spec.ts
@@ -35,7 +35,7 @@
 			return now - from;
 		}
 
-		if (ejection.tryTakeProbe(endpoint, now)) {
+		if (ejection.tryStartProbe(endpoint, now)) {
 			ejection.recordProbe(endpoint, good, now + 100);
 		}
 	}
@@ -83,7 +83,7 @@
 		const ejection = createPool();
 		countRequestsUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
 		for (let now = 1000; now < 61_000; now += 100) {
-			if (ejection.tryTakeProbe('a', now)) {
+			if (ejection.tryStartProbe('a', now)) {
 				ejection.recordProbe('a', {hasFailed: true, slowness: 1}, now);
 			}
 		}
@@ -104,8 +104,8 @@
 	it('does not wait for a probe that never ends', () => {
 		const ejection = createPool();
 		countRequestsUntilEjected(ejection, 'a', () => ({hasFailed: true, slowness: 1}));
-		expect(ejection.tryTakeProbe('a', 2000)).to.equal(true);
-		expect(ejection.tryTakeProbe('a', 2100)).to.equal(false);
+		expect(ejection.tryStartProbe('a', 2000)).to.equal(true);
+		expect(ejection.tryStartProbe('a', 2100)).to.equal(false);
 		expect(measureRestoreMs(ejection, 'a', 2100)).to.be.at.most(10_000);
 	});
 });
--- a/packages/decisions/__tests__/event-loop-lag.spec.ts
+++ b/packages/decisions/__tests__/event-loop-lag.spec.ts
@@ -1,9 +1,9 @@
 import {expect} from 'chai';
-import {Lateness} from '../src/index.js';
+import {EventLoopLag} from '../src/index.js';
 
 describe('Lateness', () => {
 	it('is high while ticks are late, and no longer after six punctual ones', () => {
-		const lateness = new Lateness();
+		const lateness = new EventLoopLag();
 		expect(lateness.isLate).to.equal(false);
 		lateness.record(40);
 		expect(lateness.isLate).to.equal(true);
@@ -15,7 +15,7 @@
 	});
 
 	it('reports the 90th percentile: one pause in ten ticks is ignored, two are not', () => {
-		const lateness = new Lateness();
+		const lateness = new EventLoopLag();
 		expect(lateness.usualMs).to.equal(0);
 		for (let i = 0; i < 20; i += 1) {
 			lateness.record(i % 10 === 0 ? 80 : 2);
--- a/packages/decisions/__tests__/expected-headroom.spec.ts
+++ b/packages/decisions/__tests__/expected-headroom.spec.ts
@@ -1,30 +1,30 @@
 import {expect} from 'chai';
-import {findSlowPace, isRoomExpected, type EndpointOccupancy} from '../src/index.js';
+import {findSlowPaceMs, hasExpectedHeadroom, type EndpointOccupancy} from '../src/index.js';
 
 function createOccupancy(changes: Partial<EndpointOccupancy> = {}): EndpointOccupancy {
 	return {
-		slots: 4, open: 0, others: 0, ageMs: 0, workMs: 40, ...changes,
+		slots: 4, open: 0, openElsewhere: 0, ageMs: 0, workMs: 40, ...changes,
 	};
 }
 
 describe('isRoomExpected', () => {
 	it('allows one open request more than slots, so that none is idle for a round trip', () => {
-		expect([4, 5].map(open => isRoomExpected(createOccupancy({open})))).to.deep.equal([true, false]);
+		expect([4, 5].map(open => hasExpectedHeadroom(createOccupancy({open})))).to.deep.equal([true, false]);
 	});
 
 	it('trusts the reported requests of others until they have probably ended', () => {
-		const rooms = [0, 19, 20].map(ageMs => createOccupancy({open: 1, others: 5, ageMs}));
-		expect(rooms.map(room => isRoomExpected(room))).to.deep.equal([false, false, true]);
+		const rooms = [0, 19, 20].map(ageMs => createOccupancy({open: 1, openElsewhere: 5, ageMs}));
+		expect(rooms.map(room => hasExpectedHeadroom(room))).to.deep.equal([false, false, true]);
 	});
 
 	it('always counts the open requests of this process', () => {
-		expect(isRoomExpected(createOccupancy({open: 5, ageMs: 1000}))).to.equal(false);
+		expect(hasExpectedHeadroom(createOccupancy({open: 5, ageMs: 1000}))).to.equal(false);
 	});
 });
 
 describe('findSlowPace', () => {
 	it('exceeds the difference between healthy endpoints, and is unknown until some were measured', () => {
-		expect(findSlowPace([undefined, 30, 25, 75])).to.be.within(40, 74);
-		expect(findSlowPace([undefined])).to.equal(undefined);
+		expect(findSlowPaceMs([undefined, 30, 25, 75])).to.be.within(40, 74);
+		expect(findSlowPaceMs([undefined])).to.equal(undefined);
 	});
 });
--- a/packages/decisions/__tests__/load-timing.spec.ts
+++ b/packages/decisions/__tests__/load-timing.spec.ts
@@ -7,7 +7,7 @@
 
 function createVersion(changed: Partial<PublishedVersion> = {}): PublishedVersion {
 	return {
-		sinceMs: 500, waiting: 0, endpoints: 8, width: 4, loadMs, intervalMs: 4000, ...changed,
+		sinceMs: 500, waitingGenerations: 0, endpoints: 8, width: 4, loadMs, intervalMs: 4000, ...changed,
 	};
 }
 
@@ -24,7 +24,7 @@
 	for (let now = 0; now < 10_000; now += 50) {
 		const loading = endpoints.filter(({loadsUntil}) => loadsUntil > now).length;
 		const old = endpoints.filter(({isNew}) => !isNew);
-		if (old.length > 0 && decide(createVersion({sinceMs: now, waiting, endpoints: old.length}))) {
+		if (old.length > 0 && decide(createVersion({sinceMs: now, waitingGenerations: waiting, endpoints: old.length}))) {
 			for (const endpoint of old.slice(0, 4 - loading)) {
 				endpoint.isNew = true;
 				endpoint.loadsUntil = now + loadMs;
@@ -53,21 +53,21 @@
 	});
 
 	it('waits for generations that have not started, as long as all loads end before the next publication', () => {
-		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 900, intervalMs: 3500}), 300)).to.equal(false);
-		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 1000, intervalMs: 3500}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({waitingGenerations: 20, sinceMs: 900, intervalMs: 3500}), 300)).to.equal(false);
+		expect(shouldLoad(createVersion({waitingGenerations: 20, sinceMs: 1000, intervalMs: 3500}), 300)).to.equal(true);
 		expect(shouldLoad(createVersion({
-			waiting: 20, sinceMs: 1000, intervalMs: 3500, endpoints: 4,
+			waitingGenerations: 20, sinceMs: 1000, intervalMs: 3500, endpoints: 4,
 		}), 300)).to.equal(false);
 	});
 
 	it('waits no longer than a load takes, however rarely versions are published', () => {
-		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 1250, intervalMs: 20_000}), 300)).to.equal(false);
-		expect(shouldLoad(createVersion({waiting: 20, sinceMs: 1300, intervalMs: 20_000}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({waitingGenerations: 20, sinceMs: 1250, intervalMs: 20_000}), 300)).to.equal(false);
+		expect(shouldLoad(createVersion({waitingGenerations: 20, sinceMs: 1300, intervalMs: 20_000}), 300)).to.equal(true);
 	});
 
 	it('does not wait without information on waiting generations or the publication interval', () => {
-		expect(shouldLoad(createVersion({waiting: undefined}), 300)).to.equal(true);
-		expect(shouldLoad(createVersion({waiting: 20, intervalMs: undefined}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({waitingGenerations: undefined}), 300)).to.equal(true);
+		expect(shouldLoad(createVersion({waitingGenerations: 20, intervalMs: undefined}), 300)).to.equal(true);
 	});
 
 	it('starts all generations of a step earlier than loads at a fixed time, and loads all endpoints before the next publication', () => {
--- a/packages/decisions/__tests__/model-assignment.spec.ts
+++ b/packages/decisions/__tests__/model-assignment.spec.ts
@@ -1,13 +1,13 @@
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
-import {placeModels, type ModelEndpoint, type ModelNeed} from '../src/index.js';
+import {assignModels, type ModelEndpoint, type ModelDemand} from '../src/index.js';
 
 function createEndpoint(id: string, versions: Record<string, number>, paceMs?: number): ModelEndpoint {
 	return {id, versions: new Map(Object.entries(versions)), paceMs};
 }
 
-function assign(holders: readonly ModelEndpoint[], published: Record<string, number> = {}, needs: Record<string, ModelNeed> = {}): Map<string, readonly string[]> {
-	return placeModels({holders, published: new Map(Object.entries(published)), needs: new Map(Object.entries(needs))});
+function assign(holders: readonly ModelEndpoint[], published: Record<string, number> = {}, needs: Record<string, ModelDemand> = {}): Map<string, readonly string[]> {
+	return assignModels({endpoints: holders, published: new Map(Object.entries(published)), demands: new Map(Object.entries(needs))});
 }
 
 function countAssigned(placed: ReadonlyMap<string, readonly string[]>): Record<string, number> {
@@ -28,7 +28,7 @@
 }
 
 /** Demand of three trainers: one with short generations, two with long ones and over twice the work. */
-const needs: Record<string, ModelNeed> = {
+const needs: Record<string, ModelDemand> = {
 	a: {work: 31_000, longest: 4000}, b: {work: 75_000, longest: 10_500}, c: {work: 77_000, longest: 10_400},
 };
 
@@ -113,7 +113,7 @@
 	it('divides the fast endpoints among all models with long generations, and keeps them when paces are measured again', () => {
 		const models = ['a', 'b', 'c', 'd'];
 		const published = Object.fromEntries(models.map(model => [model, 1]));
-		const unlike: Record<string, ModelNeed> = {
+		const unlike: Record<string, ModelDemand> = {
 			a: {work: 2350, longest: 152}, b: {work: 1930, longest: 145}, c: {work: 1390, longest: 125}, d: {work: 2250, longest: 145},
 		};
 		const holders = Array.from({length: 31}, (_, i) => createEndpoint(`e${i}`, published, i % 4 === 0 ? 26 : 55));
@@ -123,22 +123,22 @@
 		expect(Math.max(...countFast(placed))).to.be.at.most(3);
 		const last = new Map([...placed].map(([id, [model]]) => [id, model!]));
 		const measured = holders.map((holder, i) => ({...holder, paceMs: holder.paceMs! + (i % 3)}));
-		expect(placeModels({
-			holders: measured, published: new Map(Object.entries(published)), needs: new Map(Object.entries(unlike)), last,
+		expect(assignModels({
+			endpoints: measured, published: new Map(Object.entries(published)), demands: new Map(Object.entries(unlike)), last,
 		})).to.deep.equal(placed);
 	});
 
 	it('assigns every endpoint, whatever demand is reported', () => {
 		for (const works of [[100, -100], [1e308, 1e308], [Number.NaN, 1], [0, 0]]) {
-			const odd: Record<string, ModelNeed> = {a: {work: works[0]!, longest: 1}, b: {work: works[1]!, longest: -1}};
+			const odd: Record<string, ModelDemand> = {a: {work: works[0]!, longest: 1}, b: {work: works[1]!, longest: -1}};
 			expect(assign(fresh, {}, odd).size).to.equal(6);
 		}
 	});
 
 	it('keeps the last assignments even if no endpoint shows yet which model it follows', () => {
 		const last = new Map(fresh.map(({id}, i) => [id, ['a', 'b', 'c'][i % 3]!]));
-		const placed = placeModels({
-			holders: fresh, published: new Map([['a', 2], ['b', 1], ['c', 1]]), needs: new Map(), last,
+		const placed = assignModels({
+			endpoints: fresh, published: new Map([['a', 2], ['b', 1], ['c', 1]]), demands: new Map(), last,
 		});
 		expect(fresh.map(({id}) => placed.get(id)![0])).to.deep.equal(['a', 'b', 'c', 'a', 'b', 'c']);
 	});
@@ -151,9 +151,9 @@
 	});
 
 	it('divides evenly, or not at all, according to the policy', () => {
-		const input = {holders: fresh, published: new Map<string, number>(), needs: new Map(Object.entries(needs))};
-		expect(countAssigned(placeModels(input, 'even'))).to.deep.equal({a: 2, b: 2, c: 2});
-		expect(countAssigned(placeModels(input, 'all-models'))).to.deep.equal({a: 6, b: 6, c: 6});
+		const input = {endpoints: fresh, published: new Map<string, number>(), demands: new Map(Object.entries(needs))};
+		expect(countAssigned(assignModels(input, 'even'))).to.deep.equal({a: 2, b: 2, c: 2});
+		expect(countAssigned(assignModels(input, 'all-models'))).to.deep.equal({a: 6, b: 6, c: 6});
 	});
 
 	it('assigns an endpoint to every model when endpoints are lost', () => {
--- a/packages/decisions/__tests__/pace.spec.ts
+++ b/packages/decisions/__tests__/pace.spec.ts
@@ -1,7 +1,7 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
-import {Pace, listBetter} from '../src/index.js';
+import {Pace, listFasterEndpoints} from '../src/index.js';
 
 describe('Pace', () => {
 	let clock: Clock;
@@ -25,7 +25,7 @@
 		const random = new Random(3);
 		const paces = [new Pace(), new Pace()];
 		const create = (pace: Pace, id: string) => ({
-			id, slots: 8, open: 0, others: 0, paceMs: pace.unitMs, isWarm: false, isHome: false, isConnected: false,
+			id, slots: 8, open: 0, openElsewhere: 0, paceMs: pace.unitMs, hasCachedPrefix: false, isDedicated: false, isConnected: false,
 		});
 		let moves = 0;
 		for (let i = 0; i < 1000; i += 1) {
@@ -34,7 +34,7 @@
 			}
 
 			const [current, other] = paces.map((pace, number) => create(pace, String(number)));
-			moves += listBetter(current!, [other!], true).length;
+			moves += listFasterEndpoints(current!, [other!], true).length;
 		}
 
 		// A mean that weighs each new event by a quarter moved 89 times.
--- a/packages/decisions/__tests__/placement.spec.ts
+++ b/packages/decisions/__tests__/placement.spec.ts
@@ -1,11 +1,11 @@
 import {expect} from 'chai';
 import {
-	DemandHistory, planPlacement, type Demand, type Holder,
+	DemandHistory, planPlacement, type Demand, type PlacedEndpoint,
 } from '../src/index.js';
 
 const costMs = () => 15_000;
 
-function createHolders(names: string, changedAt = -1e9): Holder[] {
+function createHolders(names: string, changedAt = -1e9): PlacedEndpoint[] {
 	return [...names].map((holds, i) => ({id: `e${i}`, holds, changedAt}));
 }
 
--- a/packages/decisions/__tests__/regenerations.spec.ts
+++ b/packages/decisions/__tests__/regenerations.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {chooseRenewals, type RegenerationCandidate} from '../src/index.js';
+import {chooseRegenerations, type RegenerationCandidate} from '../src/index.js';
 
 function createCandidate(changes: Partial<RegenerationCandidate> = {}): RegenerationCandidate {
 	return {
@@ -10,10 +10,10 @@
 describe('chooseRenewals', () => {
 	it('regenerates long generations of older weights, longest first', () => {
 		const texts = [createCandidate(), createCandidate({id: 'b', events: 150}), createCandidate({id: 'c', events: 20})];
-		expect(chooseRenewals(texts, 2)).to.deep.equal(['b', 'a']);
+		expect(chooseRegenerations(texts, 2)).to.deep.equal(['b', 'a']);
 	});
 
 	it('leaves out generations of the newest weights and those already regenerated', () => {
-		expect(chooseRenewals([createCandidate({oldestVersion: 2}), createCandidate({isRenewed: true})], 2)).to.deep.equal([]);
+		expect(chooseRegenerations([createCandidate({oldestVersion: 2}), createCandidate({isRenewed: true})], 2)).to.deep.equal([]);
 	});
 });
--- a/packages/decisions/__tests__/retry-after-plan.spec.ts
+++ b/packages/decisions/__tests__/retry-after-plan.spec.ts
@@ -1,6 +1,6 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
-import {ReturnPlan, type EndpointRoom} from '../src/index.js';
+import {RetryAfterPlan, type EndpointBacklog} from '../src/index.js';
 
 const workMs = 100;
 
@@ -9,7 +9,7 @@
  *
  * @returns total number of attempts and the time by which all are served
  */
-async function replay(clock: Clock, callers: number, findRetryAfterMs: (rooms: EndpointRoom[]) => number): Promise<{attempts: number; servedMs: number}> {
+async function replay(clock: Clock, callers: number, findRetryAfterMs: (rooms: EndpointBacklog[]) => number): Promise<{attempts: number; servedMs: number}> {
 	const endpoints = [{running: 0}, {running: 0}];
 	let served = 0;
 	const startedAt = performance.now();
@@ -54,7 +54,7 @@
 	});
 
 	it('serves a burst with less than half of the attempts of a common retry-after time, and not later', async () => {
-		const plan = new ReturnPlan();
+		const plan = new RetryAfterPlan();
 		const planned = await replay(clock, 40, rooms => plan.plan(rooms));
 		const constant = await replay(clock, 40, () => 100);
 		expect(planned.attempts).to.be.below(constant.attempts / 2);
@@ -65,22 +65,22 @@
 		const room = {
 			slots: 4, running: 4, waiting: 7, workMs: 50,
 		};
-		expect(new ReturnPlan().plan([room])).to.equal(100);
-		expect(new ReturnPlan().plan([room, {...room, waiting: 0}])).to.equal(20);
+		expect(new RetryAfterPlan().plan([room])).to.equal(100);
+		expect(new RetryAfterPlan().plan([room, {...room, waiting: 0}])).to.equal(20);
 	});
 
 	it('never exceeds the time that callers will wait, and has a default while nothing is known', () => {
-		expect(new ReturnPlan().plan([{
+		expect(new RetryAfterPlan().plan([{
 			slots: 1, running: 1, waiting: 900, workMs: 300,
 		}])).to.equal(2000);
-		expect(new ReturnPlan().plan([])).to.equal(100);
-		expect(new ReturnPlan().plan([{
+		expect(new RetryAfterPlan().plan([])).to.equal(100);
+		expect(new RetryAfterPlan().plan([{
 			slots: 2, running: 2, waiting: 0, workMs: undefined,
 		}])).to.equal(50);
 	});
 
 	it('starts again once the refused callers have returned', async () => {
-		const plan = new ReturnPlan();
+		const plan = new RetryAfterPlan();
 		const room = {
 			slots: 1, running: 1, waiting: 0, workMs: 100,
 		};
--- a/packages/decisions/__tests__/speed-model.spec.ts
+++ b/packages/decisions/__tests__/speed-model.spec.ts
@@ -33,14 +33,14 @@
 		model.recordRun(26);
 		recordUnits(78);
 		model.recordRun(78);
-		expect(model.speed).to.deep.equal({classMs: 26, spell: 3, transientFactor: 1});
+		expect(model.speed).to.deep.equal({persistentMs: 26, episodicFactor: 3, transientFactor: 1});
 		clock.tick(2000);
 		expect(model.expectedMs).to.equal(26);
 	});
 
 	it('fades a reported transient slowdown within a second', () => {
-		model.guessClass(40);
-		model.recordMoment(2.5);
+		model.assumePersistent(40);
+		model.recordTransient(2.5);
 		expect(model.expectedMs).to.equal(100);
 		clock.tick(300);
 		expect(model.expectedMs).to.equal(70);
@@ -49,7 +49,7 @@
 	});
 
 	it('drops a wrong assumption, whether too fast or too slow', () => {
-		model.guessClass(20);
+		model.assumePersistent(20);
 		model.recordRun(56);
 		expect(model.persistentMs).to.equal(20);
 		for (let i = 0; i < 8; i += 1) {
@@ -58,7 +58,7 @@
 
 		expect(model.persistentMs).to.equal(56);
 		const slow = new SpeedModel();
-		slow.guessClass(56);
+		slow.assumePersistent(56);
 		slow.recordRun(26);
 		expect(slow.persistentMs).to.equal(26);
 	});
--- a/packages/decisions/__tests__/staleness.spec.ts
+++ b/packages/decisions/__tests__/staleness.spec.ts
@@ -1,6 +1,6 @@
 import {expect} from 'chai';
 import {
-	isStale, judgeDispatch, observeVersion, shouldCancel,
+	isStale, decideDispatch, observeVersion, shouldCancel,
 } from '../src/index.js';
 
 const forecast = {current: 10, since: 0, intervalMs: 100_000};
@@ -13,26 +13,26 @@
 
 describe('judgeDispatch', () => {
 	it('starts work that will be fresh enough when it is done', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createWork(), 0)).to.equal('start');
-		expect(judgeDispatch({versions: 1}, forecast, createWork({finishAt: 150_000}), 60_000)).to.equal('start');
+		expect(decideDispatch({versions: 0}, forecast, createWork(), 0)).to.equal('start');
+		expect(decideDispatch({versions: 1}, forecast, createWork({finishAt: 150_000}), 60_000)).to.equal('start');
 	});
 
 	it('delays work that a version in between would make stale', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createWork({finishAt: 120_000}), 60_000)).to.equal('wait');
+		expect(decideDispatch({versions: 0}, forecast, createWork({finishAt: 120_000}), 60_000)).to.equal('wait');
 	});
 
 	it('waits for the swap of an endpoint with older weights', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createWork({engineVersion: 9}), 0)).to.equal('wait');
+		expect(decideDispatch({versions: 0}, forecast, createWork({engineVersion: 9}), 0)).to.equal('wait');
 	});
 
 	it('starts work for later steps only within the bound', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createWork({stepsAhead: 1}), 0)).to.equal('wait');
-		expect(judgeDispatch({versions: 1}, forecast, createWork({stepsAhead: 1}), 0)).to.equal('start');
-		expect(judgeDispatch({versions: 1}, forecast, createWork({stepsAhead: 2}), 0)).to.equal('wait');
+		expect(decideDispatch({versions: 0}, forecast, createWork({stepsAhead: 1}), 0)).to.equal('wait');
+		expect(decideDispatch({versions: 1}, forecast, createWork({stepsAhead: 1}), 0)).to.equal('start');
+		expect(decideDispatch({versions: 1}, forecast, createWork({stepsAhead: 2}), 0)).to.equal('wait');
 	});
 
 	it('does not wait forever with work that can never be in time', () => {
-		expect(judgeDispatch({versions: 0}, forecast, createWork({finishAt: 300_000}), 60_000)).to.equal('start');
+		expect(decideDispatch({versions: 0}, forecast, createWork({finishAt: 300_000}), 60_000)).to.equal('start');
 	});
 });
 
--- a/packages/decisions/__tests__/step-order.spec.ts
+++ b/packages/decisions/__tests__/step-order.spec.ts
@@ -58,7 +58,7 @@
 		prediction.record('k', 'other', 100);
 		prediction.recordProgress('k', 'running', 2000);
 		expect(prediction.predict('k', 'running', 8000)).to.equal(3000);
-		expect(prediction.knows('k', 'running')).to.equal(false);
+		expect(prediction.hasFinishedSample('k', 'running')).to.equal(false);
 		prediction.record('k', 'running', 2100);
 		expect(prediction.predict('k', 'running', 8000)).to.be.within(1500, 2100);
 	});
@@ -79,7 +79,7 @@
 describe('planCopies', () => {
 	function createStraggler(id: string, changes: Partial<Straggler> = {}): Straggler {
 		return {
-			id, endpoint: 'slow', remainingTokens: 1000, madeTokens: 1000, speed: 0.1, isDoubled: false, ...changes,
+			id, endpoint: 'slow', remainingTokens: 1000, madeTokens: 1000, speed: 0.1, hasCopy: false, ...changes,
 		};
 	}
 
@@ -100,7 +100,7 @@
 		const straggler = createStraggler('a', {speed: 0.6});
 		expect(planCopies([straggler], idle, 0.95, false)).to.deep.equal([]);
 		expect(planCopies([straggler], idle, 0.95, true)).to.have.lengthOf(1);
-		expect(planCopies([createStraggler('a', {isDoubled: true})], idle, 0.95, true)).to.deep.equal([]);
+		expect(planCopies([createStraggler('a', {hasCopy: true})], idle, 0.95, true)).to.deep.equal([]);
 	});
 });
 
--- a/packages/decisions/__tests__/uneven-endpoints.spec.ts
+++ b/packages/decisions/__tests__/uneven-endpoints.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
 import {
-	chooseDirect, gainsBy, isAtRisk, SpeedModel, TextLengths, type DirectCandidate,
+	chooseDirect, gainsByMoving, isAtRisk, SpeedModel, GenerationLengths, type DirectCandidate,
 } from '../src/index.js';
 
 type ReplayedGeneration = {made: number; madeHere: number; length: number; hint: number; at: number};
@@ -32,8 +32,8 @@
 		}).toSorted((a, b) => b.hint - a.hint);
 	}
 
-	function recordLengths(random: Random): TextLengths {
-		const lengths = new TextLengths();
+	function recordLengths(random: Random): GenerationLengths {
+		const lengths = new GenerationLengths();
 		for (const {hint, length} of createGenerations(random, 120)) {
 			lengths.record('t', hint, length);
 		}
@@ -52,24 +52,24 @@
 		const lengths = recordLengths(random);
 		const models = paces.map(paceMs => {
 			const model = new SpeedModel();
-			model.guessClass(paceMs);
+			model.assumePersistent(paceMs);
 			return model;
 		});
 		const generations = createGenerations(random, paces.length * slots * 0.9);
 		const listCandidates = (): DirectCandidate[] => paces.map((_, i) => ({
-			id: String(i), slots, open: generations.filter(({at}) => at === i).length, others: 0, paceMs: isPlanned ? models[i]!.expectedMs : undefined, isWarm: false, isHome: true, isConnected: true,
+			id: String(i), slots, open: generations.filter(({at}) => at === i).length, openElsewhere: 0, paceMs: isPlanned ? models[i]!.expectedMs : undefined, hasCachedPrefix: false, isDedicated: true, isConnected: true,
 		}));
 		for (const generation of generations) {
-			const units = isPlanned ? lengths.expectLeft('t', generation.hint, 0)! : undefined;
+			const units = isPlanned ? lengths.estimateRemaining('t', generation.hint, 0)! : undefined;
 			generation.at = Number(chooseDirect(listCandidates().filter(({open}) => open < slots), random.next(), units === undefined ? undefined : {units, dueInMs: dueMs})!.id);
 		}
 
 		let moves = 0;
 		let ms = 0;
 		const move = (generation: ReplayedGeneration) => {
-			const movable = {madeHere: generation.madeHere, unitsLeft: lengths.expectLeft('t', generation.hint, generation.made)!, dueInMs: dueMs - ms};
+			const movable = {unitsMadeHere: generation.madeHere, unitsLeft: lengths.estimateRemaining('t', generation.hint, generation.made)!, dueInMs: dueMs - ms};
 			const here = models[generation.at]!.speed;
-			const better = isPlanned && isAtRisk(movable, here) ? listCandidates().filter(({id, open}) => open < slots && gainsBy(movable, here, models[Number(id)]!.speed)) : [];
+			const better = isPlanned && isAtRisk(movable, here) ? listCandidates().filter(({id, open}) => open < slots && gainsByMoving(movable, here, models[Number(id)]!.speed)) : [];
 			const chosen = chooseDirect(better, random.next());
 			if (chosen) {
 				generation.at = Number(chosen.id);
@@ -121,32 +121,32 @@
 	});
 
 	it('never moves a generation in its first five events, unless its endpoint has become slow', () => {
-		const newlyStarted = {madeHere: 3, unitsLeft: 100, dueInMs: 2000};
-		expect([1, 3].map(spell => isAtRisk(newlyStarted, {classMs: 56, spell, transientFactor: 1}))).to.deep.equal([false, true]);
-		expect(isAtRisk({...newlyStarted, madeHere: 5}, {classMs: 56, spell: 1, transientFactor: 1})).to.equal(true);
+		const newlyStarted = {unitsMadeHere: 3, unitsLeft: 100, dueInMs: 2000};
+		expect([1, 3].map(spell => isAtRisk(newlyStarted, {persistentMs: 56, episodicFactor: spell, transientFactor: 1}))).to.deep.equal([false, true]);
+		expect(isAtRisk({...newlyStarted, unitsMadeHere: 5}, {persistentMs: 56, episodicFactor: 1, transientFactor: 1})).to.equal(true);
 	});
 
 	it('stays at an endpoint that is merely full if an idle one has the same persistent speed', () => {
-		const settled = {madeHere: 20, unitsLeft: 100, dueInMs: 2000};
-		expect(gainsBy(settled, {classMs: 56, spell: 1, transientFactor: 1}, {classMs: 26, spell: 2, transientFactor: 1})).to.equal(true);
-		expect([2, 2.5].map(spell => gainsBy(settled, {classMs: 56, spell, transientFactor: 1}, {classMs: 56, spell: 1, transientFactor: 1}))).to.deep.equal([false, true]);
+		const settled = {unitsMadeHere: 20, unitsLeft: 100, dueInMs: 2000};
+		expect(gainsByMoving(settled, {persistentMs: 56, episodicFactor: 1, transientFactor: 1}, {persistentMs: 26, episodicFactor: 2, transientFactor: 1})).to.equal(true);
+		expect([2, 2.5].map(spell => gainsByMoving(settled, {persistentMs: 56, episodicFactor: spell, transientFactor: 1}, {persistentMs: 56, episodicFactor: 1, transientFactor: 1}))).to.deep.equal([false, true]);
 	});
 });
 
 describe('TextLengths', () => {
 	it('expects a long generation to continue, and more so with a longer hint', () => {
-		const lengths = new TextLengths();
+		const lengths = new GenerationLengths();
 		for (const events of [5, 8, 10, 12, 14, 16, 20, 60, 120]) {
 			lengths.record('t', undefined, events);
 		}
 
-		const left = [0, 40, 100].map(made => lengths.expectLeft('t', undefined, made));
+		const left = [0, 40, 100].map(made => lengths.estimateRemaining('t', undefined, made));
 		expect(left).to.deep.equal([265 / 9, 50, 20]);
-		expect(lengths.expectLeft('t', undefined, 150)).to.equal(75);
-		expect(lengths.expectLeft('t', 2, 0)).to.equal(2 * 265 / 9);
+		expect(lengths.estimateRemaining('t', undefined, 150)).to.equal(75);
+		expect(lengths.estimateRemaining('t', 2, 0)).to.equal(2 * 265 / 9);
 	});
 
 	it('uses the events made so far while it knows no other generations', () => {
-		expect([0, 40].map(made => new TextLengths().expectLeft('t', undefined, made))).to.deep.equal([undefined, 20]);
+		expect([0, 40].map(made => new GenerationLengths().estimateRemaining('t', undefined, made))).to.deep.equal([undefined, 20]);
 	});
 });
--- a/packages/decisions/__tests__/weight-waves.spec.ts
+++ b/packages/decisions/__tests__/weight-waves.spec.ts
@@ -1,7 +1,7 @@
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
 import {
-	failReplica, planWave, storeSource, type Replica, type WaveLimits,
+	failReplica, planWave, storeSource, type WeightReplica, type WaveLimits,
 } from '../src/index.js';
 
 /** The model: durations of a fetch and of a swap in milliseconds, and the failure rate of swaps. */
@@ -12,7 +12,7 @@
 
 function simulateRollout(count: number, limits: WaveLimits, failureRate: number): Outcome {
 	const random = new Random(7);
-	let replicas: Replica[] = Array.from({length: count}, (_, i) => ({id: `e${i}`, state: 'old', failures: 0}));
+	let replicas: WeightReplica[] = Array.from({length: count}, (_, i) => ({id: `e${i}`, state: 'old', failures: 0}));
 	const endsAt = new Map<string, number>();
 	const outcome: Outcome = {
 		doneMs: 0, mostOut: 0, mostStoreStreams: 0, failures: 0,
@@ -68,7 +68,7 @@
 	});
 
 	it('retries a failed endpoint from another source, after the others', () => {
-		const replicas: Replica[] = [
+		const replicas: WeightReplica[] = [
 			failReplica({
 				id: 'failed', state: 'swapping', failures: 0, source: 'peer',
 			}, 0),
@@ -82,7 +82,7 @@
 	});
 
 	it('gives up on an endpoint that fails repeatedly', () => {
-		const replicas: Replica[] = [{id: 'bad', state: 'old', failures: 5}];
+		const replicas: WeightReplica[] = [{id: 'bad', state: 'old', failures: 5}];
 		expect(planWave(replicas, {storeStreams: 1, peerStreams: 0, interactiveEndpoints: 0}, 1e6).fetches).to.deep.equal([]);
 	});
 });
--- a/packages/decisions/src/attempt-backoff.ts
+++ b/packages/decisions/src/attempt-backoff.ts
@@ -8,10 +8,10 @@
  */
 
 /** Shortest and longest pause, in milliseconds. */
-export type BackoffBounds = {firstMs: number; longestMs: number};
+export type BackoffBounds = {initialMs: number; maxMs: number};
 
 /** Exponential backoff of one endpoint for one kind of failure. */
-export class AttemptPause {
+export class AttemptBackoff {
 	readonly #bounds: BackoffBounds;
 	#failures = 0;
 	#backoffUntil = Number.NEGATIVE_INFINITY;
@@ -22,7 +22,7 @@
 	}
 
 	/** Whether an attempt may be made now. */
-	get isOpen(): boolean {
+	get canAttempt(): boolean {
 		return performance.now() >= this.#backoffUntil && !this.#hasTrialAttempt;
 	}
 
@@ -44,8 +44,8 @@
 			return;
 		}
 
-		const {firstMs, longestMs} = this.#bounds;
-		this.#backoffUntil = performance.now() + Math.min(longestMs, firstMs * (2 ** this.#failures));
+		const {initialMs, maxMs} = this.#bounds;
+		this.#backoffUntil = performance.now() + Math.min(maxMs, initialMs * (2 ** this.#failures));
 		this.#failures += 1;
 	}
 
--- a/packages/decisions/src/batch-shares.ts
+++ b/packages/decisions/src/batch-shares.ts
@@ -73,7 +73,7 @@
 	/** Samples per share. */
 	samples: number;
 	/** Ids of the workers of the trainer's last batch, by share. */
-	last: ReadonlyArray<string | undefined>;
+	lastWorkers: ReadonlyArray<string | undefined>;
 	/** Number of endpoints by data centre. */
 	endpoints: ReadonlyMap<string, number>;
 	/** Rank of a host among otherwise equal ones, highest first; it differs by trainer, so that trainers choose different hosts. */
@@ -103,10 +103,10 @@
  *
  * @returns ids by share; fewer than requested if there are not enough hosts
  */
-export function chooseWorkers(candidates: readonly WorkerCandidate[], {count, samples, last, endpoints, rank}: WorkerRequest): string[] {
+export function chooseWorkers(candidates: readonly WorkerCandidate[], {count, samples, lastWorkers, endpoints, rank}: WorkerRequest): string[] {
 	const byId = new Map(candidates.map(candidate => [candidate.id, candidate]));
 	const chosen: Array<WorkerCandidate | undefined> = Array.from({length: count}, (_, i) => {
-		const candidate = byId.get(last[i] ?? '');
+		const candidate = byId.get(lastWorkers[i] ?? '');
 		return candidate && canKeepShare(candidate) && countFreeSamples(candidate) >= samples ? candidate : undefined;
 	});
 	for (const [i, keptWorker] of chosen.entries()) {
--- a/packages/decisions/src/caller-queue.ts
+++ b/packages/decisions/src/caller-queue.ts
@@ -7,7 +7,7 @@
  */
 import type {PriorityClass} from '@wasabiusher/shared';
 import {IndexedHeap, type HeapItem} from './indexed-heap.js';
-import {TurnClock} from './flow-clock.js';
+import {FlowClock} from './flow-clock.js';
 
 /** Determines the position of a job. */
 export type Ticket = {
@@ -59,7 +59,7 @@
 /** Queues the jobs of one class in fair order. */
 export class CallerQueue<Job> {
 	readonly #flows = new Map<string, Flow<Job>>();
-	readonly #clock = new TurnClock();
+	readonly #clock = new FlowClock();
 	readonly #heap = new IndexedHeap<Flow<Job>>((a, b) => a.start < b.start || (a.start === b.start && a.order < b.order));
 	#arrivals = 0;
 
--- a/packages/decisions/src/crash-evidence.ts
+++ b/packages/decisions/src/crash-evidence.ts
@@ -22,7 +22,7 @@
 	readonly #broken = new Map<string, BrokenRequest[]>();
 
 	/** Records a request that failed without an answer, and may have run. */
-	noteBroken(endpoint: string, fingerprint: string, now: number): void {
+	recordBroken(endpoint: string, fingerprint: string, now: number): void {
 		const broken = this.#broken.get(endpoint) ?? [];
 		broken.push({fingerprint, at: now});
 		if (broken.length > maxBroken) {
@@ -35,7 +35,7 @@
 	}
 
 	/** Records that an endpoint is down; returns the fingerprints of the requests in flight when it crashed, once. */
-	takeDown(endpoint: string, now: number): string[] {
+	takeCrashed(endpoint: string, now: number): string[] {
 		const broken = this.#broken.get(endpoint);
 		if (!broken) {
 			return [];
--- a/packages/decisions/src/direct-choice.ts
+++ b/packages/decisions/src/direct-choice.ts
@@ -14,15 +14,15 @@
 	/** Open requests of this process at the endpoint. */
 	open: number;
 	/** Open requests of other processes at the endpoint, as last reported; it lags. */
-	others: number;
+	openElsewhere: number;
 	/** Recent time per unit of work, in milliseconds; undefined until measured. */
 	paceMs: number | undefined;
 	/** Current slowdown factor of its machine, used where its pace is unknown; normally 1. */
-	moment?: number;
+	transientFactor?: number;
 	/** Whether it caches part of the prompt from an earlier request. */
-	isWarm: boolean;
+	hasCachedPrefix: boolean;
 	/** Whether it is dedicated to this process for this kind of work. */
-	isHome: boolean;
+	isDedicated: boolean;
 	/** Whether this process probably has an idle connection to it. */
 	isConnected: boolean;
 };
@@ -84,7 +84,7 @@
 
 /** Returns the expected time until a new attempt is done at the endpoint, in units of a typical request; lower is better. */
 export function estimateCost(candidate: DirectCandidate, medianPaceMs: number | undefined, weights = defaultWeights): number {
-	const {slots, open, others: openElsewhere, paceMs, moment: transientFactor = 1, isWarm: hasCachedPrefix, isHome: isDedicated, isConnected} = candidate;
+	const {slots, open, openElsewhere, paceMs, transientFactor = 1, hasCachedPrefix, isDedicated, isConnected} = candidate;
 	const occupied = (open + openElsewhere) / Math.max(1, slots);
 	const factor = paceMs === undefined || !medianPaceMs ? transientFactor : Math.max(weights.minPaceFactor, paceMs / medianPaceMs);
 	const crowding = crowdingFactor * Math.min(1, occupied);
@@ -117,12 +117,12 @@
  *
  * @param isLong - whether the run has made many events already, and since its last move
  */
-export function listBetter(current: DirectCandidate, others: readonly DirectCandidate[], isLong: boolean): DirectCandidate[] {
+export function listFasterEndpoints(current: DirectCandidate, others: readonly DirectCandidate[], isLong: boolean): DirectCandidate[] {
 	const {paceMs: currentMs} = current;
 	const factor = isLong ? longRunMoveFactor : moveFactor;
 	return currentMs === undefined
 		? []
-		: others.filter(({open, others: openElsewhere, slots, paceMs}) => open + openElsewhere < slots && paceMs !== undefined && paceMs * factor < currentMs);
+		: others.filter(({open, openElsewhere, slots, paceMs}) => open + openElsewhere < slots && paceMs !== undefined && paceMs * factor < currentMs);
 }
 
 /** Returns the median of the measured paces, in milliseconds per unit of work; undefined if there are none. */
--- a/packages/decisions/src/ejection.ts
+++ b/packages/decisions/src/ejection.ts
@@ -125,7 +125,7 @@
 	 * Starts a probe of an ejected endpoint; returns false if none is due. A probe is a second copy of an idempotent request or a health check, never the
 	 * only copy of a caller's request.
 	 */
-	tryTakeProbe(endpoint: string, now: number): boolean {
+	tryStartProbe(endpoint: string, now: number): boolean {
 		const health = this.#endpoints.get(endpoint);
 		if (!health?.isEjected || now < health.nextProbeAt) {
 			return false;
--- a/packages/decisions/src/endpoint-speed.ts
+++ b/packages/decisions/src/endpoint-speed.ts
@@ -5,9 +5,9 @@
 /** Known speed of an endpoint. */
 export type EndpointSpeed = {
 	/** Persistent time per unit of work without disturbances, in milliseconds: a property of its machine; undefined until known. */
-	classMs: number | undefined;
+	persistentMs: number | undefined;
 	/** Episodic slowdown factor, over some seconds; normally 1. */
-	spell: number;
+	episodicFactor: number;
 	/** Transient slowdown factor at present; normally 1, also once the endpoint's report is too old. */
 	transientFactor: number;
 };
--- a/packages/decisions/src/event-loop-lag.ts
+++ b/packages/decisions/src/event-loop-lag.ts
@@ -19,7 +19,7 @@
 const highLagMs = 10;
 
 /** Event-loop lag of one process, measured with a periodic timer. */
-export class Lateness {
+export class EventLoopLag {
 	readonly #ticks: number[] = [];
 
 	/** Records the lag of a tick, in milliseconds. */
--- a/packages/decisions/src/expected-headroom.ts
+++ b/packages/decisions/src/expected-headroom.ts
@@ -14,7 +14,7 @@
 	/** Open requests of this process at the endpoint. */
 	open: number;
 	/** Open requests of other processes at the endpoint, as last reported, and the age of that report in milliseconds. */
-	others: number;
+	openElsewhere: number;
 	ageMs: number;
 	/** Time that a request takes at the endpoint, in milliseconds; undefined until measured. */
 	workMs: number | undefined;
@@ -27,14 +27,14 @@
 const slowPaceFactor = 1.8;
 
 /** Returns the pace above which an endpoint of a service counts as slow, in milliseconds; undefined until some were measured. */
-export function findSlowPace(pacesMs: ReadonlyArray<number | undefined>): number | undefined {
+export function findSlowPaceMs(pacesMs: ReadonlyArray<number | undefined>): number | undefined {
 	const medianMs = findMiddle(pacesMs.filter(paceMs => paceMs !== undefined));
 	return medianMs === undefined ? undefined : slowPaceFactor * medianMs;
 }
 
 /** Returns whether the endpoint probably has capacity now: by its last report, minus the requests that have ended since then at its pace. */
-export function isRoomExpected({
-	slots, open, others: openElsewhere, ageMs, workMs = defaultWorkMs,
+export function hasExpectedHeadroom({
+	slots, open, openElsewhere, ageMs, workMs = defaultWorkMs,
 }: EndpointOccupancy): boolean {
 	const excess = open + openElsewhere + 1 - slots - queuedAhead;
 	return excess <= 0 || (open < slots + queuedAhead && ageMs >= excess * workMs / Math.max(1, slots));
--- a/packages/decisions/src/fast-endpoint-allocation.ts
+++ b/packages/decisions/src/fast-endpoint-allocation.ts
@@ -5,7 +5,7 @@
  * The longest generations of a step decide when it is complete, and on a slow endpoint one of them takes longer than the step may. A model without fast
  * endpoints is late with every step; one that gets more than its long generations can fill gains nothing from them.
  */
-import {clampWork, type ModelEndpoint, type ModelNeed} from './model-assignment.js';
+import {clampWork, type ModelEndpoint, type ModelDemand} from './model-assignment.js';
 
 /** Factor over the best pace up to which an endpoint counts as fast: full endpoints are a fifth slower than idle ones. */
 const fastPaceFactor = 1.22;
@@ -19,7 +19,7 @@
 	fast: number;
 	/** Total number of endpoints of each model. */
 	shares: ReadonlyMap<string, number>;
-	demands: ReadonlyMap<string, ModelNeed>;
+	demands: ReadonlyMap<string, ModelDemand>;
 	/** Number of fast endpoints that each model has at present. */
 	heldFast: ReadonlyMap<string, number>;
 };
--- a/packages/decisions/src/flow-clock.ts
+++ b/packages/decisions/src/flow-clock.ts
@@ -9,7 +9,7 @@
 const maxIdleFlows = 10_000;
 
 /** Tracks the virtual time and the start times of idle flows. */
-export class TurnClock {
+export class FlowClock {
 	readonly #idleFlows = new Map<string, number>();
 	#now = 0;
 
--- a/packages/decisions/src/generation-lengths.ts
+++ b/packages/decisions/src/generation-lengths.ts
@@ -26,7 +26,7 @@
 type Kind = {ratios: number[]; next: number};
 
 /** Tracks the lengths of generations by kind. */
-export class TextLengths {
+export class GenerationLengths {
 	readonly #kinds = new Map<string, Kind>();
 
 	/**
@@ -49,7 +49,7 @@
 	 *
 	 * @returns undefined while nothing is known
 	 */
-	expectLeft(kind: string, hint: number | undefined, made: number): number | undefined {
+	estimateRemaining(kind: string, hint: number | undefined, made: number): number | undefined {
 		const ratios = this.#kinds.get(kind)?.ratios ?? [];
 		if (ratios.length < minLengths) {
 			return made === 0 ? undefined : tailFactor * made;
--- a/packages/decisions/src/generation-moves.ts
+++ b/packages/decisions/src/generation-moves.ts
@@ -8,9 +8,9 @@
 import type {EndpointSpeed} from './endpoint-speed.js';
 
 /** A generation in progress. */
-export type MovableText = {
+export type MovableGeneration = {
 	/** Number of events made at its present endpoint. */
-	madeHere: number;
+	unitsMadeHere: number;
 	/** Expected number of remaining events. */
 	unitsLeft: number;
 	/** Time until it is due, in milliseconds; undefined if unknown. */
@@ -37,14 +37,14 @@
  * slowness of an endpoint that is merely full: it becomes faster as other generations end, so that a generation that left it for an idle one of the same
  * speed would gain nothing.
  */
-function estimateUnitMs({classMs: persistentMs, spell: episodicFactor}: EndpointSpeed): number | undefined {
+function estimateUnitMs({persistentMs, episodicFactor}: EndpointSpeed): number | undefined {
 	return persistentMs === undefined ? undefined : persistentMs * (episodicFactor < slowEpisodicFactor ? 1 : episodicFactor);
 }
 
 /** Returns whether a generation could benefit from another endpoint, without knowledge of the others. */
-export function isAtRisk({madeHere, unitsLeft, dueInMs}: MovableText, here: EndpointSpeed): boolean {
+export function isAtRisk({unitsMadeHere, unitsLeft, dueInMs}: MovableGeneration, here: EndpointSpeed): boolean {
 	const unitMs = estimateUnitMs(here);
-	if (unitMs === undefined || (madeHere < minEventsBeforeMove && here.spell < slowEpisodicFactor)) {
+	if (unitMs === undefined || (unitsMadeHere < minEventsBeforeMove && here.episodicFactor < slowEpisodicFactor)) {
 		return false;
 	}
 
@@ -53,7 +53,7 @@
 }
 
 /** Returns whether a generation at risk gains enough by continuing at the other endpoint. */
-export function gainsBy({unitsLeft}: MovableText, here: EndpointSpeed, there: EndpointSpeed): boolean {
+export function gainsByMoving({unitsLeft}: MovableGeneration, here: EndpointSpeed, there: EndpointSpeed): boolean {
 	const hereMs = estimateUnitMs(here);
 	const thereMs = estimateUnitMs(there);
 	return hereMs !== undefined && thereMs !== undefined && thereMs * minSpeedup < hereMs && (unitsLeft * (hereMs - thereMs)) - moveMs >= minGainMs;
--- a/packages/decisions/src/length-prediction.ts
+++ b/packages/decisions/src/length-prediction.ts
@@ -57,7 +57,7 @@
 	}
 
 	/** Returns whether a sample of this prompt has finished. */
-	knows(kindName: string, prompt: string): boolean {
+	hasFinishedSample(kindName: string, prompt: string): boolean {
 		return (this.#prompts.get(`${kindName}/${prompt}`)?.count ?? 0) > 0;
 	}
 
--- a/packages/decisions/src/load-estimator.ts
+++ b/packages/decisions/src/load-estimator.ts
@@ -25,7 +25,7 @@
 const otherLoadSmoothingWeight = 0.05;
 
 /** Estimates the load of one endpoint. */
-export class LaggingLoad {
+export class LoadEstimator {
 	#report: LoadReport = {load: 0, measuredAt: Number.NEGATIVE_INFINITY};
 	#changes: Array<{at: number; by: 1 | -1}> = [];
 	#changeSinceReport = 0;
--- a/packages/decisions/src/load-timing.ts
+++ b/packages/decisions/src/load-timing.ts
@@ -12,7 +12,7 @@
 	/** Time since the publication, in milliseconds. */
 	sinceMs: number;
 	/** Number of generations of the model that have not been started, on all hosts; undefined if it is not reported. */
-	waiting: number | undefined;
+	waitingGenerations: number | undefined;
 	/** Number of endpoints that still have to load it. */
 	endpoints: number;
 	/** Number of endpoints that may load at the same time. */
@@ -32,8 +32,8 @@
  * @param minDelayMs - time that the step needs to arrive and fill the slots
  */
 export function shouldLoad(version: PublishedVersion, minDelayMs: number): boolean {
-	const {sinceMs, waiting} = version;
-	return sinceMs >= minDelayMs && (waiting === undefined || waiting <= 0 || sinceMs >= Math.min(minDelayMs + version.loadMs, findLatestMs(version)));
+	const {sinceMs, waitingGenerations} = version;
+	return sinceMs >= minDelayMs && (waitingGenerations === undefined || waitingGenerations <= 0 || sinceMs >= Math.min(minDelayMs + version.loadMs, findLatestMs(version)));
 }
 
 /** Returns the time after the publication from which loads would not finish before the next one, in milliseconds. */
--- a/packages/decisions/src/model-assignment.ts
+++ b/packages/decisions/src/model-assignment.ts
@@ -22,7 +22,7 @@
 };
 
 /** Recent demand of the steps of a model. */
-export type ModelNeed = {
+export type ModelDemand = {
 	/** Work of a step, in any unit that the models share. */
 	work: number;
 	/** Length of its longest generations, in the same unit. */
@@ -31,11 +31,11 @@
 
 export type ModelAssignmentInput = {
 	/** Endpoints that can serve now. */
-	holders: readonly ModelEndpoint[];
+	endpoints: readonly ModelEndpoint[];
 	/** Newest version of each model. */
 	published: ReadonlyMap<string, number>;
 	/** Demand by model. If any model has an entry, those without one count as having minimal demand. */
-	needs: ReadonlyMap<string, ModelNeed>;
+	demands: ReadonlyMap<string, ModelDemand>;
 	/** Previously assigned model of each endpoint, as far as known; for other endpoints it is derived from the versions that they hold. */
 	last?: ReadonlyMap<string, string>;
 };
@@ -54,14 +54,14 @@
  *
  * @returns models by endpoint id; with fewer endpoints than models each endpoint follows all models
  */
-export function placeModels(input: ModelAssignmentInput, strategy: ModelAssignmentStrategy = 'by-need'): Map<string, readonly string[]> {
+export function assignModels(input: ModelAssignmentInput, strategy: ModelAssignmentStrategy = 'by-need'): Map<string, readonly string[]> {
 	return strategies[strategy](input);
 }
 
 const strategies: Readonly<Record<ModelAssignmentStrategy, (input: ModelAssignmentInput) => Map<string, readonly string[]>>> = {
 	'by-need': assignByDemand,
-	even: input => assignByDemand({...input, needs: new Map(), holders: input.holders.map(endpoint => ({...endpoint, paceMs: undefined}))}),
-	'all-models': ({holders}) => assignAllModels(holders),
+	even: input => assignByDemand({...input, demands: new Map(), endpoints: input.endpoints.map(endpoint => ({...endpoint, paceMs: undefined}))}),
+	'all-models': ({endpoints}) => assignAllModels(endpoints),
 };
 
 function assignAllModels(endpoints: readonly ModelEndpoint[]): Map<string, readonly string[]> {
@@ -69,7 +69,7 @@
 }
 
 function assignByDemand(input: ModelAssignmentInput): Map<string, readonly string[]> {
-	const {holders: endpoints} = input;
+	const {endpoints} = input;
 	const models = [...new Set(endpoints.flatMap(({versions}) => [...versions.keys()]))].toSorted((a, b) => a.localeCompare(b));
 	if (models.length < 2 || endpoints.length < models.length) {
 		return assignAllModels(endpoints);
@@ -97,7 +97,7 @@
  * Returns the number of endpoints of each model: at least one, the rest by work. A model keeps an endpoint that it already has unless another model has
  * a clearly larger shortage.
  */
-function allocateEndpoints(models: readonly string[], {holders: endpoints, needs: demands}: ModelAssignmentInput, currentModels: ReadonlyMap<string, string | undefined>): Map<string, number> {
+function allocateEndpoints(models: readonly string[], {endpoints, demands}: ModelAssignmentInput, currentModels: ReadonlyMap<string, string | undefined>): Map<string, number> {
 	const works = models.map(model => demands.size === 0 ? 1 : clampWork(demands.get(model)?.work));
 	const total = Math.max(Number.EPSILON, works.reduce((sum, work) => sum + work, 0));
 	const quotas = new Map(models.map((model, i) => [model, endpoints.length * works[i]! / total]));
@@ -128,7 +128,7 @@
 function assignEndpoints(
 	models: readonly string[],
 	shares: ReadonlyMap<string, number>,
-	{holders: endpoints, needs: demands}: ModelAssignmentInput,
+	{endpoints, demands}: ModelAssignmentInput,
 	currentModels: ReadonlyMap<string, string | undefined>,
 ): Map<ModelEndpoint, string> {
 	const assignments = new Map<ModelEndpoint, string>();
--- a/packages/decisions/src/placement.ts
+++ b/packages/decisions/src/placement.ts
@@ -10,7 +10,7 @@
  */
 
 /** An endpoint and the name of what it holds. */
-export type Holder = {
+export type PlacedEndpoint = {
 	id: string;
 	holds: string;
 	/** Time of its last change order, on the clock of `now`. */
@@ -62,7 +62,7 @@
 const interactiveSpareFactor = 1.25;
 
 /** Returns the changes to order now; none if no gain outweighs its cost. */
-export function planPlacement(endpoints: readonly Holder[], demands: readonly Demand[], settings: PlacementSettings, now: number): Change[] {
+export function planPlacement(endpoints: readonly PlacedEndpoint[], demands: readonly Demand[], settings: PlacementSettings, now: number): Change[] {
 	const counts = countByModel(endpoints, demands);
 	const maxChanging = settings.maxChanging ?? Math.max(1, Math.ceil(endpoints.length / 3));
 	let allowedChanges = maxChanging - endpoints.filter(({isChanging}) => isChanging).length;
@@ -84,7 +84,7 @@
 	return changes;
 }
 
-function countByModel(endpoints: readonly Holder[], demands: readonly Demand[]): Map<string, number> {
+function countByModel(endpoints: readonly PlacedEndpoint[], demands: readonly Demand[]): Map<string, number> {
 	const counts = new Map(demands.map(({name}) => [name, 0]));
 	for (const {holds} of endpoints) {
 		counts.set(holds, (counts.get(holds) ?? 0) + 1);
@@ -93,7 +93,7 @@
 	return counts;
 }
 
-function findBestChange(endpoints: readonly Holder[], demands: readonly Demand[], counts: ReadonlyMap<string, number>, {costMs}: PlacementSettings): Change | undefined {
+function findBestChange(endpoints: readonly PlacedEndpoint[], demands: readonly Demand[], counts: ReadonlyMap<string, number>, {costMs}: PlacementSettings): Change | undefined {
 	let best: Change | undefined;
 	let bestGainMs = 0;
 	const byName = new Map(demands.map(demand => [demand.name, demand]));
--- a/packages/decisions/src/poison.ts
+++ b/packages/decisions/src/poison.ts
@@ -44,11 +44,11 @@
 	/** Time for which a suspect is remembered, in milliseconds. */
 	suspicionMs: number;
 	/** First quarantine term, in milliseconds; it doubles with each further crash, up to one day. */
-	firstTermMs: number;
+	initialTermMs: number;
 };
 
 /** Defaults for requests that run alone once they are suspects; callers that retry do so within minutes. */
-const defaultLimits: PoisonLimits = {crashesToQuarantine: 2, suspicionMs: 600_000, firstTermMs: 600_000};
+const defaultLimits: PoisonLimits = {crashesToQuarantine: 2, suspicionMs: 600_000, initialTermMs: 600_000};
 
 const maxQuarantineMs = 86_400_000;
 
@@ -138,13 +138,13 @@
 	}
 }
 
-function extendDeadline(row: Suspect, now: number, {crashesToQuarantine, suspicionMs, firstTermMs}: PoisonLimits): void {
+function extendDeadline(row: Suspect, now: number, {crashesToQuarantine, suspicionMs, initialTermMs}: PoisonLimits): void {
 	if (listUnclearedCrashes(row).length < crashesToQuarantine) {
 		row.until = Math.max(row.until, now + suspicionMs);
 		return;
 	}
 
-	row.until = now + Math.min(maxQuarantineMs, firstTermMs * (2 ** row.terms));
+	row.until = now + Math.min(maxQuarantineMs, initialTermMs * (2 ** row.terms));
 	row.terms += 1;
 }
 
--- a/packages/decisions/src/policy.ts
+++ b/packages/decisions/src/policy.ts
@@ -66,7 +66,7 @@
 export const defaultPolicy: Policy = policySchema.parse({});
 
 /** Returns the settings of a policy that differ from the defaults, for a log line. */
-export function listDeviations(policy: Policy): Partial<Policy> {
+export function listOverrides(policy: Policy): Partial<Policy> {
 	const defaults = new Map<string, unknown>(Object.entries(defaultPolicy));
 	return Object.fromEntries(Object.entries(policy).filter(([name, value]) => value !== defaults.get(name)));
 }
--- a/packages/decisions/src/regenerations.ts
+++ b/packages/decisions/src/regenerations.ts
@@ -29,7 +29,7 @@
  *
  * @param published - newest version of the weights
  */
-export function chooseRenewals(generations: readonly RegenerationCandidate[], published: number): string[] {
+export function chooseRegenerations(generations: readonly RegenerationCandidate[], published: number): string[] {
 	return generations
 		.filter(({events, oldestVersion, isRenewed}) => !isRenewed && events >= minEvents && oldestVersion < published)
 		.toSorted((a, b) => b.events - a.events)
--- a/packages/decisions/src/retry-after-plan.ts
+++ b/packages/decisions/src/retry-after-plan.ts
@@ -8,7 +8,7 @@
  */
 
 /** Occupancy of an endpoint. */
-export type EndpointRoom = {
+export type EndpointBacklog = {
 	slots: number;
 	/** Number of requests that are running and that are waiting at the endpoint. */
 	running: number;
@@ -31,7 +31,7 @@
 const returnIntervalFactor = 0.7;
 
 /** Plans the return of refused callers of one service. */
-export class ReturnPlan {
+export class RetryAfterPlan {
 	/** Time at which the last refused caller returns, on the monotonic clock. */
 	#lastReturnAt = Number.NEGATIVE_INFINITY;
 
@@ -40,7 +40,7 @@
 	 *
 	 * @param endpoints - available endpoints of its service; without any the time is that of one request
 	 */
-	plan(endpoints: readonly EndpointRoom[]): number {
+	plan(endpoints: readonly EndpointBacklog[]): number {
 		const now = performance.now();
 		const perMs = endpoints.reduce((sum, {slots, workMs = defaultWorkMs}) => sum + (slots / workMs), 0);
 		const intervalMs = returnIntervalFactor * (perMs > 0 ? 1 / perMs : defaultWorkMs);
@@ -53,7 +53,7 @@
 }
 
 /** Returns the time until a slot is free for a new request, in milliseconds. */
-function estimateFreeSlotMs({slots, running, waiting, workMs = defaultWorkMs}: EndpointRoom): number {
+function estimateFreeSlotMs({slots, running, waiting, workMs = defaultWorkMs}: EndpointBacklog): number {
 	const ahead = Math.max(0, running + waiting + 1 - slots);
 	return ahead * workMs / Math.max(1, slots);
 }
--- a/packages/decisions/src/speed-model.ts
+++ b/packages/decisions/src/speed-model.ts
@@ -50,12 +50,12 @@
 	}
 
 	/** Adopts a persistent pace measured by others or earlier, in milliseconds per unit. */
-	guessClass(unitMs: number): void {
+	assumePersistent(unitMs: number): void {
 		this.#assumedPersistentMs = unitMs;
 	}
 
 	/** Records the transient slowdown that the endpoint reports; normally 1. */
-	recordMoment(slowness: number): void {
+	recordTransient(slowness: number): void {
 		this.#slowness = Math.min(maxFactor, Math.max(1, slowness));
 		this.#slownessAt = performance.now();
 	}
@@ -67,7 +67,7 @@
 	}
 
 	/** Persistent pace in milliseconds per unit, if this process has measured it well enough to report it. */
-	get ownClassMs(): number | undefined {
+	get ownPersistentMs(): number | undefined {
 		return this.#runs.length >= minReportedRuns ? this.#bestRunMs : undefined;
 	}
 
@@ -77,20 +77,20 @@
 	}
 
 	/** Transient slowdown factor at present; normally 1. */
-	get moment(): number {
+	get transientFactor(): number {
 		const ageMs = performance.now() - this.#slownessAt;
 		return ageMs < transientFadeMs ? 1 + ((this.#slowness - 1) * (1 - (ageMs / transientFadeMs))) : 1;
 	}
 
 	get speed(): EndpointSpeed {
-		const {persistentMs, recentMs, moment: transientFactor} = this;
+		const {persistentMs, recentMs, transientFactor} = this;
 		const episodicFactor = persistentMs === undefined || recentMs === undefined ? 1 : Math.min(maxFactor, Math.max(1, recentMs / persistentMs));
-		return {classMs: persistentMs, spell: episodicFactor, transientFactor};
+		return {persistentMs, episodicFactor, transientFactor};
 	}
 
 	/** Expected time for the next units, in milliseconds; undefined while nothing is known. */
 	get expectedMs(): number | undefined {
-		const {classMs: persistentMs, spell: episodicFactor, transientFactor} = this.speed;
+		const {persistentMs, episodicFactor, transientFactor} = this.speed;
 		return persistentMs === undefined ? this.recentMs && this.recentMs * transientFactor : persistentMs * Math.max(episodicFactor, transientFactor);
 	}
 }
--- a/packages/decisions/src/staleness.ts
+++ b/packages/decisions/src/staleness.ts
@@ -44,7 +44,7 @@
 }
 
 /** Returns whether work may be started now. */
-export function judgeDispatch(freshness: Freshness, forecast: VersionForecast, draft: PlannedWork, now: number): DispatchDecision {
+export function decideDispatch(freshness: Freshness, forecast: VersionForecast, draft: PlannedWork, now: number): DispatchDecision {
 	if (countVersionLag(forecast, draft) <= freshness.versions) {
 		return 'start';
 	}
--- a/packages/decisions/src/stragglers.ts
+++ b/packages/decisions/src/stragglers.ts
@@ -16,7 +16,7 @@
 	madeTokens: number;
 	/** Tokens per millisecond of the sample where it runs. */
 	speed: number;
-	isDoubled: boolean;
+	hasCopy: boolean;
 	/**
 	 * Time until the rest of its step could be complete, in milliseconds: predicted remaining tokens over the tokens per millisecond of all endpoints.
 	 * Undefined if unknown.
@@ -59,7 +59,7 @@
 	const targets = idle.map(endpoint => ({...endpoint}));
 	const copies: Copy[] = [];
 	const slowest = stragglers
-		.filter(straggler => !straggler.isDoubled && isLate(straggler, startedFraction))
+		.filter(straggler => !straggler.hasCopy && isLate(straggler, startedFraction))
 		.toSorted((a, b) => (b.remainingTokens / b.speed) - (a.remainingTokens / a.speed));
 	for (const straggler of slowest) {
 		const target = findFastest(targets, straggler.endpoint);
--- a/packages/decisions/src/weight-waves.ts
+++ b/packages/decisions/src/weight-waves.ts
@@ -11,7 +11,7 @@
 import {hashToNumber} from '@wasabiusher/shared';
 
 /** An endpoint in transition to the ordered version. */
-export type Replica = {
+export type WeightReplica = {
 	id: string;
 	state: 'old' | 'fetching' | 'fetched' | 'swapping' | 'current';
 	/** Number of failed fetches and swaps to this version. */
@@ -53,23 +53,23 @@
 export const storeSource = 'store';
 
 /** Returns what to order now; to be called again whenever a fetch or swap has finished or failed. */
-export function planWave(replicas: readonly Replica[], limits: WaveLimits, now: number): WavePlan {
+export function planWave(replicas: readonly WeightReplica[], limits: WaveLimits, now: number): WavePlan {
 	return {fetches: planFetches(replicas, limits, now), swaps: planSwaps(replicas, limits, now)};
 }
 
 /** Returns the state of a replica after a failed fetch or swap: it is fetched again, from another source if one is free. */
-export function failReplica(replica: Replica, now: number): Replica {
+export function failReplica(replica: WeightReplica, now: number): WeightReplica {
 	const failures = replica.failures + 1;
 	return {
 		...replica, state: 'old', failures, retryAt: now + (initialRetryMs * (2 ** (failures - 1))),
 	};
 }
 
-function isRetryDue({failures, retryAt}: Replica, now: number): boolean {
+function isRetryDue({failures, retryAt}: WeightReplica, now: number): boolean {
 	return failures < maxFailures && (retryAt ?? 0) <= now;
 }
 
-function planFetches(replicas: readonly Replica[], limits: WaveLimits, now: number): WavePlan['fetches'] {
+function planFetches(replicas: readonly WeightReplica[], limits: WaveLimits, now: number): WavePlan['fetches'] {
 	const free = listSources(replicas, limits);
 	const waiting = replicas
 		.filter(replica => replica.state === 'old' && isRetryDue(replica, now))
@@ -88,7 +88,7 @@
 }
 
 /** Returns the number of streams that each source can still serve; peers come before the store, which serves those that peers can't. */
-function listSources(replicas: readonly Replica[], {storeStreams, peerStreams}: WaveLimits): Map<string, number> {
+function listSources(replicas: readonly WeightReplica[], {storeStreams, peerStreams}: WaveLimits): Map<string, number> {
 	const free = new Map<string, number>();
 	for (const {id, state} of replicas) {
 		if (state === 'fetched' || state === 'current') {
@@ -126,7 +126,7 @@
 	return undefined;
 }
 
-function planSwaps(replicas: readonly Replica[], {interactiveEndpoints}: WaveLimits, now: number): string[] {
+function planSwaps(replicas: readonly WeightReplica[], {interactiveEndpoints}: WaveLimits, now: number): string[] {
 	const needed = Math.ceil(interactiveEndpoints * (1 + interactiveSpareFraction));
 	const maxSwapping = Math.max(1, Math.min(replicas.length - needed, Math.floor(maxSwappingFraction * replicas.length)));
 	const swapping = replicas.filter(({state}) => state === 'swapping').length;
@@ -138,6 +138,6 @@
 }
 
 /** Orders replicas by hash, which spreads a wave over racks and data centres, as names usually follow them. */
-function compareByHash(a: Replica, b: Replica): number {
+function compareByHash(a: WeightReplica, b: WeightReplica): number {
 	return hashToNumber(a.id) - hashToNumber(b.id) || a.id.localeCompare(b.id);
 }
--- a/packages/direct/__tests__/call-queue.spec.ts
+++ b/packages/direct/__tests__/call-queue.spec.ts
@@ -1,7 +1,7 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
 import {Random, type Route} from '@wasabiusher/shared';
-import {DirectCall, EndpointLine, type CallOutcome} from '../src/index.js';
+import {DirectCall, EndpointQueue, type CallOutcome} from '../src/index.js';
 import {
 	createBench, createRequest, createRoute, type Bench,
 } from './fixtures.js';
@@ -39,7 +39,7 @@
 	async function replay(burst: number): Promise<EndedCall[]> {
 		const bench = createBench(4);
 		const client = createQueueingClient(bench, slots, id => id === 'i0' ? 75 : 25);
-		const settings = {...bench, client, line: new EndpointLine(bench.directory)};
+		const settings = {...bench, client, queue: new EndpointQueue(bench.directory)};
 		const random = new Random(7);
 		const ended: EndedCall[] = [];
 		const burstAt = performance.now() + quietMs;
@@ -73,8 +73,8 @@
 	/** Creates an endpoint whose slots are all taken for a long time, and a queue with measured service times. */
 	async function createFullEndpoint(): Promise<{bench: Bench; call(path: string): Promise<CallOutcome>}> {
 		const bench = createBench(1);
-		const queue = new EndpointLine(bench.directory);
-		const settings = {...bench, client: createQueueingClient(bench, slots, () => 10_000), line: queue};
+		const queue = new EndpointQueue(bench.directory);
+		const settings = {...bench, client: createQueueingClient(bench, slots, () => 10_000), queue};
 		const call = async (path: string) => new DirectCall(settings, createRoute({objectiveMs}), {...createRequest(60_000), path}, new AbortController().signal).run();
 		for (let i = 0; i < 20; i++) {
 			queue.recordWork('s', 25);
--- a/packages/direct/__tests__/customer-fairness.spec.ts
+++ b/packages/direct/__tests__/customer-fairness.spec.ts
@@ -1,7 +1,7 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
 import {Random} from '@wasabiusher/shared';
-import {DirectCall, EndpointLine} from '../src/index.js';
+import {DirectCall, EndpointQueue} from '../src/index.js';
 import {
 	createBench, createRequest, createRoute, type Bench,
 } from './fixtures.js';
@@ -27,7 +27,7 @@
 
 	async function expectFairShares(hasQueue: boolean): Promise<void> {
 		const bench = createBench(endpointCount);
-		const settings = {...bench, client: createQueueingClient(bench, slots, () => workMs), line: hasQueue ? new EndpointLine(bench.directory) : undefined};
+		const settings = {...bench, client: createQueueingClient(bench, slots, () => workMs), queue: hasQueue ? new EndpointQueue(bench.directory) : undefined};
 		const random = new Random(7);
 		const requested = new Map<string, number>();
 		const served = new Map<string, number>();
--- a/packages/direct/__tests__/endpoint-directory.spec.ts
+++ b/packages/direct/__tests__/endpoint-directory.spec.ts
@@ -1,6 +1,6 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
-import {defaultPolicy, Lateness, type Policy} from '@wasabiusher/decisions';
+import {defaultPolicy, EventLoopLag, type Policy} from '@wasabiusher/decisions';
 import {Random, type RegisteredEndpoint} from '@wasabiusher/shared';
 import {EndpointDirectory} from '../src/index.js';
 
@@ -116,7 +116,7 @@
 
 	it('records the best pace that other processes report of an endpoint, and expires it', async () => {
 		directory.put(createEndpoint());
-		directory.learnPaces({i: 47, unknown: 30});
+		directory.recordReportedPaces({i: 47, unknown: 30});
 		expect(directory.findBestPaceMs('i')).to.equal(47);
 		expect(directory.listOwnPaces(5)).to.deep.equal({});
 		await clock.tickAsync(21_000);
@@ -147,7 +147,7 @@
 	});
 
 	it('records no pace and moves no run while the event loop of this process lags', () => {
-		const eventLoopLag = new Lateness();
+		const eventLoopLag = new EventLoopLag();
 		const lagging = new EndpointDirectory(new Random(1), defaultPolicy, eventLoopLag);
 		lagging.put(createEndpoint());
 		lagging.put(createEndpoint({id: 'slow'}));
--- a/packages/direct/__tests__/fixtures.ts
+++ b/packages/direct/__tests__/fixtures.ts
@@ -37,7 +37,7 @@
 
 export function createSample(changes: Partial<SampleRequest> = {}): SampleRequest {
 	return {
-		id: 's1', model: 'm', leastVersion: 1, isSingleVersion: false, group: 'g', deadlineAt: performance.now() + 40_000,
+		id: 's1', model: 'm', minWeightVersion: 1, isSingleVersion: false, group: 'g', deadlineAt: performance.now() + 40_000,
 		request: {
 			method: 'POST', path: '/s', host: 'h', headers: {}, body: new Uint8Array(),
 		},
--- a/packages/direct/__tests__/load-announcements.spec.ts
+++ b/packages/direct/__tests__/load-announcements.spec.ts
@@ -4,7 +4,7 @@
 import {createSilentLog, Random} from '@wasabiusher/shared';
 import {MemoryRowStore} from '@wasabiusher/standins';
 import {defaultPolicy} from '@wasabiusher/decisions';
-import {EndpointDirectory, LoadNews, WeightOrders} from '../src/index.js';
+import {EndpointDirectory, LoadAnnouncements, WeightOrders} from '../src/index.js';
 import {createBench} from './fixtures.js';
 
 const requirement = {service: 's', oldestVersion: {model: 'm', version: 1}};
@@ -24,7 +24,7 @@
 	});
 
 	function createAnnouncements(writer: string, onLoad: (endpoint: string, forMs: number) => void = () => undefined) {
-		return new LoadNews({
+		return new LoadAnnouncements({
 			rows: store, table: 't', part: 'p', writer, log: createSilentLog(), onLoad(load, forMs) {
 				onLoad(load.endpoint, forMs);
 			},
@@ -42,10 +42,10 @@
 		const other = createAnnouncements('b', (endpoint, forMs) => {
 			received.push([endpoint, forMs]);
 		});
-		announcements.tell(load, 1000);
-		announcements.tell({...load, endpoint: 'i1'}, 1000);
+		announcements.announce(load, 1000);
+		announcements.announce({...load, endpoint: 'i1'}, 1000);
 		await clock.tickAsync(6);
-		announcements.tell({...load, endpoint: 'i2'}, 1000);
+		announcements.announce({...load, endpoint: 'i2'}, 1000);
 		await clock.tickAsync(50);
 		const rows = await readRows();
 		for (const row of rows) {
@@ -61,7 +61,7 @@
 	it('continues without a store, and counts unreadable rows of other writers', async () => {
 		const announcements = createAnnouncements('a');
 		store.switches.isDown = true;
-		announcements.tell(load, 1000);
+		announcements.announce(load, 1000);
 		await clock.tickAsync(10);
 		announcements.apply({
 			table: 't', part: 'p', key: '0', version: 1, value: Buffer.from('{"loads":[7]}'),
@@ -85,26 +85,26 @@
 
 	it('skips an endpoint for the model that it loads, until it serves the version or the load expires', async () => {
 		const {directory} = createBench(1);
-		directory.loads.note(load, 1000);
+		directory.loads.record(load, 1000);
 		expect(directory.acquire(requirement)).to.equal(undefined);
 		expect(directory.acquire({...requirement, oldestVersion: {model: 'other', version: 0}})?.id).to.equal('i0');
 		directory.recordVersion('i0', 'm', 2);
 		expect(directory.acquire(requirement)?.id).to.equal('i0');
-		directory.loads.note({...load, version: 3}, 1000);
+		directory.loads.record({...load, version: 3}, 1000);
 		await clock.tickAsync(1000);
 		expect(directory.acquire(requirement)?.id).to.equal('i0');
 	});
 
 	it('limits the time of an announcement, and ignores one of a served version or with the policy disabled', async () => {
 		const {directory, endpoints: [{id}]} = createBench(1) as ReturnType<typeof createBench> & {endpoints: [{id: string}]};
-		directory.loads.note(load, 1e9);
+		directory.loads.record(load, 1e9);
 		await clock.tickAsync(3000);
 		expect(directory.acquire(requirement)?.id).to.equal(id);
-		directory.loads.note({...load, version: 1}, 1000);
+		directory.loads.record({...load, version: 1}, 1000);
 		expect(directory.acquire(requirement)?.id).to.equal(id);
 		const plain = new EndpointDirectory(new Random(1), {...defaultPolicy, tellsLoads: false});
 		plain.put(directory.get(id)!);
-		plain.loads.note(load, 1000);
+		plain.loads.record(load, 1000);
 		expect(plain.acquire(requirement)?.id).to.equal(id);
 	});
 
@@ -129,8 +129,8 @@
 		const bench = createBench(2);
 		const announced: Array<[string, boolean]> = [];
 		const orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: {fence: 1, holds: () => true}, holder: 'a', log: bench.log, chooseMode: () => 'continue',
-			tellLoad({endpoint}, forMs) {
+			directory: bench.directory, client: bench.client, lease: {fence: 1, holds: () => true}, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			announceLoad({endpoint}, forMs) {
 				announced.push([endpoint, forMs > 0]);
 			},
 		});
--- a/packages/direct/__tests__/restart-watch.spec.ts
+++ b/packages/direct/__tests__/restart-watch.spec.ts
@@ -133,7 +133,7 @@
 	it('gets no order based on the report of an incarnation other than the registered one', async () => {
 		const {directory, client, log, endpoints} = bench;
 		const orders = new WeightOrders({
-			directory, client, right: {fence: 1, holds: () => true}, holder: 'a', log, chooseMode: () => 'continue',
+			directory, client, lease: {fence: 1, holds: () => true}, holder: 'a', log, chooseMode: () => 'continue',
 		});
 		endpoints[0]!.bornMs = 200;
 		endpoints[0]!.version = 9;
--- a/packages/direct/__tests__/sample-run.spec.ts
+++ b/packages/direct/__tests__/sample-run.spec.ts
@@ -1,7 +1,7 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
 import {
-	SampleRun, type SampleOutcome, type SampleRequest, type SampleText,
+	SampleRun, type SampleOutcome, type SampleRequest, type GeneratedText,
 } from '../src/index.js';
 import {
 	createBench, createRoute, createSample, type Bench,
@@ -25,7 +25,7 @@
 		clock.uninstall();
 	});
 
-	async function run(changes: Partial<SampleRequest> = {}, ms = 10_000, text?: SampleText): Promise<SampleOutcome> {
+	async function run(changes: Partial<SampleRequest> = {}, ms = 10_000, text?: GeneratedText): Promise<SampleOutcome> {
 		const {directory, client, log} = bench;
 		const sample = new SampleRun({
 			directory, client, log, findRoute: () => createRoute({kind: 'batch'}), chance: () => 0,
@@ -134,7 +134,7 @@
 	it('moves to a faster endpoint only if it would be late otherwise, and begins there if possible', async () => {
 		const runOn = async (events: number, pauseMs: number) => {
 			bench = createBench(2);
-			bench.directory.learnPaces({i0: 56, i1: 26});
+			bench.directory.recordReportedPaces({i0: 56, i1: 26});
 			for (const [i, {switches}] of bench.endpoints.entries()) {
 				switches.eventMs = i === 0 ? 56 : 26;
 				switches.events = events;
@@ -179,7 +179,7 @@
 	it('never uses an endpoint whose weights are too old', async () => {
 		bench.directory.recordVersion('i1', 'm', 2);
 		bench.endpoints[1]!.version = 2;
-		const outcome = await run({leastVersion: 2});
+		const outcome = await run({minWeightVersion: 2});
 		expect(outcome.kind).to.equal('made');
 		expect(bench.endpoints[0]!.runs).to.have.length(0);
 	});
@@ -188,7 +188,7 @@
 		bench.directory.recordVersion('i0', 'm', 2);
 		bench.directory.recordVersion('i1', 'm', 2);
 		bench.endpoints[1]!.version = 2;
-		const outcome = await run({leastVersion: 2});
+		const outcome = await run({minWeightVersion: 2});
 		expect(outcome.kind === 'made' && [...outcome.text.versions]).to.deep.equal([2]);
 	});
 
@@ -253,7 +253,7 @@
 		}, 60);
 		await clock.tickAsync(1000);
 		const outcome = new SampleRun({
-			directory, client: bench.client, log: bench.log, findRoute: () => createRoute({kind: 'batch'}), chance: () => 0, findHomes: () => new Set(['i0', 'i1']),
+			directory, client: bench.client, log: bench.log, findRoute: () => createRoute({kind: 'batch'}), chance: () => 0, findDedicated: () => new Set(['i0', 'i1']),
 		}, createSample(), new AbortController().signal).run();
 		await clock.tickAsync(500);
 		fastRunning = 3;
--- a/packages/direct/__tests__/sample-search.spec.ts
+++ b/packages/direct/__tests__/sample-search.spec.ts
@@ -1,7 +1,7 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
 import type {Route} from '@wasabiusher/shared';
-import {EndpointLine, SampleRun, type SampleOutcome} from '../src/index.js';
+import {EndpointQueue, SampleRun, type SampleOutcome} from '../src/index.js';
 import {
 	createBench, createRoute, createSample, type Bench,
 } from './fixtures.js';
@@ -9,7 +9,7 @@
 describe('SampleSearch in the wait queue of a host', () => {
 	let clock: Clock;
 	let bench: Bench;
-	let queue: EndpointLine;
+	let queue: EndpointQueue;
 	let route: Route | undefined;
 	let stop: AbortController;
 	let outcomes: Record<string, SampleOutcome['kind']>;
@@ -18,7 +18,7 @@
 		clock = install();
 		bench = createBench(1);
 		bench.endpoints[0]!.switches.eventMs = 40;
-		queue = new EndpointLine(bench.directory);
+		queue = new EndpointQueue(bench.directory);
 		route = createRoute({kind: 'batch'});
 		stop = new AbortController();
 		outcomes = {};
@@ -38,9 +38,9 @@
 	async function run(rank: number): Promise<void> {
 		const {directory, client, log} = bench;
 		const id = `s${rank}`;
-		const sample = createSample({id, place: {turn: 't', dueAt: 10_000, rank}});
+		const sample = createSample({id, queuePosition: {turn: 't', dueAt: 10_000, rank}});
 		const {kind} = await new SampleRun({
-			directory, client, log, line: queue, findRoute: () => route, chance: () => 0,
+			directory, client, log, queue, findRoute: () => route, chance: () => 0,
 		}, sample, stop.signal).run();
 		outcomes[id] = kind;
 	}
@@ -72,7 +72,7 @@
 		endpoint!.version = 2;
 		const text = {events: ['a', 'b'], versions: new Set([1])};
 		void new SampleRun({
-			directory, client, log, line: queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
+			directory, client, log, queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
 		}, createSample({id: 's', isSingleVersion: true}), stop.signal, text).run();
 		await clock.tickAsync(100);
 		expect(listBegun()).to.deep.equal(['s']);
@@ -85,7 +85,7 @@
 		await clock.tickAsync(1300);
 		const text = {events: ['a', 'b'], versions: new Set([1])};
 		void new SampleRun({
-			directory, client, log, line: queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
+			directory, client, log, queue, findRoute: () => createRoute({kind: 'batch', isSingleVersion: true}), chance: () => 0,
 		}, createSample({id: 's', isSingleVersion: true}), stop.signal, text).run();
 		await clock.tickAsync(3000);
 		directory.put(registered);
--- a/packages/direct/__tests__/slot-limits.spec.ts
+++ b/packages/direct/__tests__/slot-limits.spec.ts
@@ -1,6 +1,6 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
-import type {RationSource, Want} from '@wasabiusher/slots';
+import type {AllocationSource, QueuedWork} from '@wasabiusher/slots';
 import {createBench} from './fixtures.js';
 
 const requirement = {
@@ -8,17 +8,17 @@
 };
 
 /** Slot allocations that a test sets. */
-class FakeSource implements RationSource {
+class FakeSource implements AllocationSource {
 	readonly limits = new Map<string, number>();
 	/** The last report of each endpoint. */
-	readonly reports = new Map<string, {filled: number; wants: readonly Want[]}>();
+	readonly reports = new Map<string, {filled: number; wants: readonly QueuedWork[]}>();
 	readonly #listeners: Array<() => void> = [];
 
 	findLimit(endpoint: string): number | undefined {
 		return this.limits.get(endpoint);
 	}
 
-	want({endpoint, ...report}: Parameters<RationSource['want']>[0]): void {
+	updateDemand({endpoint, ...report}: Parameters<AllocationSource['updateDemand']>[0]): void {
 		this.reports.set(endpoint, report);
 	}
 
@@ -128,7 +128,7 @@
 
 	it('fills half of the free slots without a grant, and reports requests of others only from a fresh load report', async () => {
 		const {directory, limits} = share(1);
-		expect([limits.findFreePart('i0'), limits.findFreePart('unknown')]).to.deep.equal([2, 1]);
+		expect([limits.findDefaultLimit('i0'), limits.findDefaultLimit('unknown')]).to.deep.equal([2, 1]);
 		for (const id of ['a', 'b', 'c']) {
 			directory.acquire(createRequirement(id));
 		}
@@ -136,7 +136,7 @@
 		directory.recordHead('i0', {
 			status: 200, headers: {}, isNotRun: false, stamp: undefined, load: {running: 4, waiting: 1, slots: 4}, weightVersion: undefined, isFramed: true, isClosing: false,
 		});
-		expect(limits.findFreePart('i0')).to.equal(1);
+		expect(limits.findDefaultLimit('i0')).to.equal(1);
 		limits.tick();
 		expect(source.reports.get('i0')).to.deep.equal({filled: 3, wants: [], others: 2});
 		await clock.tickAsync(60);
--- a/packages/direct/__tests__/weight-orders.spec.ts
+++ b/packages/direct/__tests__/weight-orders.spec.ts
@@ -20,7 +20,7 @@
 			},
 		};
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 	});
 
@@ -59,7 +59,7 @@
 		bench.serving.add('a8', 'z');
 		const unserved = bench.serving.add('a9', 'x');
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', isServed: service => service === 's',
+			directory: bench.directory, client: bench.client, lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', isServed: service => service === 's',
 		});
 		orders.publish('m', 2);
 		await tickFor(6000);
@@ -72,7 +72,7 @@
 		let leftMs = 700;
 		const lapsing = {fence: 5, holds: (roomMs = 0) => roomMs < leftMs};
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lapsing, holder: 'a', log: bench.log, chooseMode: () => 'continue', orderRoomMs: 1000,
+			directory: bench.directory, client: bench.client, lease: lapsing, holder: 'a', log: bench.log, chooseMode: () => 'continue', orderMarginMs: 1000,
 		});
 		orders.publish('m', 2);
 		await tickFor(2000);
@@ -92,7 +92,7 @@
 			holds: () => true,
 		};
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: unstable, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, lease: unstable, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 		orders.publish('m', 2);
 		await tickFor(8000);
@@ -103,7 +103,7 @@
 	it('keeps one endpoint of each model from loading, where several models share the endpoints', async () => {
 		bench = createBench(6, ['a', 'b', 'c']);
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 		for (const model of ['a', 'b', 'c']) {
 			orders.publish(model, 2);
@@ -125,7 +125,7 @@
 	it('keeps half of the endpoints from loading while reports lag', async () => {
 		bench = createBench(2);
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, lease, holder: 'a', log: bench.log, chooseMode: () => 'continue',
 		});
 		for (const {switches} of bench.endpoints) {
 			switches.reportLagMs = 300;
@@ -150,7 +150,7 @@
 	it('delays loads while generations wait to begin, except those that must finish before the next version', async () => {
 		let waiting = 0;
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
+			directory: bench.directory, client: bench.client, lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
 		});
 		orders.publish('m', 2);
 		await tickFor(8000);
@@ -172,7 +172,7 @@
 	it('does not delay the load of an endpoint that is more than a version behind and can not run the waiting generations', async () => {
 		let waiting = 0;
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
+			directory: bench.directory, client: bench.client, lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', findWaiting: () => waiting,
 		});
 		orders.publish('m', 2);
 		await tickFor(10_000);
@@ -192,7 +192,7 @@
 		bench = createBench(6, ['a', 'b']);
 		const lines: string[] = [];
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, lease, holder: 'a', chooseMode: () => 'continue',
 			log: new Log('t', 'info', line => {
 				lines.push(line);
 			}),
@@ -207,7 +207,7 @@
 	it('orders all endpoints at once if the policy says so', async () => {
 		bench = createBench(6, ['a', 'b', 'c']);
 		orders = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', policy: {...defaultPolicy, loadDelayMs: 0, staggersLoads: false},
+			directory: bench.directory, client: bench.client, lease, holder: 'a', log: bench.log, chooseMode: () => 'continue', policy: {...defaultPolicy, loadDelayMs: 0, staggersLoads: false},
 		});
 		orders.publish('a', 2);
 		await tickFor(100);
@@ -251,7 +251,7 @@
 		expect(endpoint!.orders).to.have.length(0);
 		lease.isHeld = false;
 		const next = new WeightOrders({
-			directory: bench.directory, client: bench.client, right: {fence: 6, holds: () => true}, holder: 'b', log: bench.log, chooseMode: () => 'continue',
+			directory: bench.directory, client: bench.client, lease: {fence: 6, holds: () => true}, holder: 'b', log: bench.log, chooseMode: () => 'continue',
 		});
 		next.publish('m', 3);
 		for (let i = 0; i < 200; i += 1) {
--- a/packages/direct/src/call-admission.ts
+++ b/packages/direct/src/call-admission.ts
@@ -8,7 +8,7 @@
 import type {WorkKind} from '@wasabiusher/slots';
 import type {RegisteredEndpoint, Route} from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
-import type {EndpointLine} from './endpoint-queue.js';
+import type {EndpointQueue} from './endpoint-queue.js';
 
 /** Maximum wait of a call as a fraction of its objective: a call refused within a quarter of it can still be served elsewhere in time. */
 const maxWaitRatio = 0.2;
@@ -17,7 +17,7 @@
 const returnDueRatio = 0.5;
 
 /** Position of a request in the wait queue, for requests that don't wait as a caller's does. */
-export type CallPlace = {
+export type QueuePosition = {
 	kind: WorkKind;
 	urgency: number;
 	turn: string;
@@ -25,17 +25,17 @@
 	dueAt: number;
 	rank?: number;
 	/** Maximum wait for a slot in milliseconds. Afterwards any endpoint may serve the request; a caller's own request is refused instead. */
-	patienceMs: number;
+	maxWaitMs: number;
 };
 
 export type CallAdmissionSettings = {
 	directory: EndpointDirectory;
 	/** Wait queue for slots; undefined to send calls at once. */
-	line?: EndpointLine;
+	queue?: EndpointQueue;
 };
 
 /** Properties of a call that its admission depends on. */
-export type AdmissionRequest = {attemptId: string; method: string; path: string; customer?: string; deadlineAt: number; place?: CallPlace};
+export type AdmissionRequest = {attemptId: string; method: string; path: string; customer?: string; deadlineAt: number; queuePosition?: QueuePosition};
 
 export type AdmissionOutcome = {kind: 'granted'; endpoint: RegisteredEndpoint} | {kind: 'refused'; reason: string; retryAfterMs: number} | {kind: 'none'};
 
@@ -55,14 +55,14 @@
 
 	/** Waits for an endpoint for the first attempt. */
 	async wait(signal: AbortSignal): Promise<AdmissionOutcome> {
-		const {line: queue} = this.#settings;
+		const {queue} = this.#settings;
 		if (!queue) {
 			return this.#acquireNow();
 		}
 
-		const {attemptId, deadlineAt, place: queuePosition} = this.#request;
+		const {attemptId, deadlineAt, queuePosition} = this.#request;
 		const now = performance.now();
-		const {patienceMs: maxWaitMs, ...position} = queuePosition ?? this.#findPosition(queue, now);
+		const {maxWaitMs, ...position} = queuePosition ?? this.#findPosition(queue, now);
 		const answer = await queue.wait({
 			...position,
 			id: attemptId,
@@ -77,7 +77,7 @@
 
 		const final = answer.kind === 'expired' ? this.#acquireOrRefuse() : answer;
 		if (final.kind === 'refused') {
-			queue.returns.note(this.#returnKey);
+			queue.returns.record(this.#returnKey);
 		}
 
 		return final;
@@ -85,22 +85,22 @@
 
 	/** Acquires an endpoint for a further attempt without waiting; where calls queue, a caller's request needs one with headroom. */
 	acquire(excluded: ReadonlySet<string>): RegisteredEndpoint | undefined {
-		const {directory, line: queue} = this.#settings;
+		const {directory, queue} = this.#settings;
 		const withHeadroom = queue && directory.acquire({service: this.#service, excluded, needsHeadroom: true});
-		return withHeadroom ?? (queue && !this.#request.place ? undefined : directory.acquire({service: this.#service, excluded}));
+		return withHeadroom ?? (queue && !this.#request.queuePosition ? undefined : directory.acquire({service: this.#service, excluded}));
 	}
 
 	/** Records the service time of an attempt, in milliseconds. */
 	recordWork(workMs: number): void {
-		this.#settings.line?.recordWork(this.#service, workMs);
+		this.#settings.queue?.recordWork(this.#service, workMs);
 	}
 
 	/** Position of a caller's request. A retry of a refused request precedes new ones and is not refused at once again. */
-	#findPosition(queue: EndpointLine, now: number): CallPlace & {isRefusable: boolean} {
+	#findPosition(queue: EndpointQueue, now: number): QueuePosition & {isRefusable: boolean} {
 		const {objectiveMs, priority, name} = this.#route;
-		const isReturning = queue.returns.take(this.#returnKey);
+		const isReturning = queue.returns.consume(this.#returnKey);
 		return {
-			kind: 'call', urgency: priority, turn: this.#request.customer ?? name, isRefusable: !isReturning, patienceMs: maxWaitRatio * objectiveMs,
+			kind: 'call', urgency: priority, turn: this.#request.customer ?? name, isRefusable: !isReturning, maxWaitMs: maxWaitRatio * objectiveMs,
 			dueAt: now + ((isReturning ? returnDueRatio : 1) * objectiveMs),
 		};
 	}
@@ -120,7 +120,7 @@
 	#acquireOrRefuse(): AdmissionOutcome {
 		const {directory} = this.#settings;
 		const granted = this.#acquireNow();
-		return granted.kind === 'granted' || this.#request.place
+		return granted.kind === 'granted' || this.#request.queuePosition
 			? granted
 			: {kind: 'refused', reason: 'no slot became free in time', retryAfterMs: directory.planRetryAfterMs(this.#service)};
 	}
--- a/packages/direct/src/call.ts
+++ b/packages/direct/src/call.ts
@@ -8,10 +8,10 @@
 import {
 	describeError, type Log, type Random, type RegisteredEndpoint, type Route,
 } from '@wasabiusher/shared';
-import {poisonRequestReason, recordBrokenAttempt, type CrashWatch} from './poison-requests.js';
-import {CallAdmission, type CallPlace} from './call-admission.js';
+import {poisonRequestReason, recordBrokenAttempt, type PoisonRequestTracker} from './poison-requests.js';
+import {CallAdmission, type QueuePosition} from './call-admission.js';
 import type {EndpointDirectory} from './endpoint-directory.js';
-import type {EndpointLine} from './endpoint-queue.js';
+import type {EndpointQueue} from './endpoint-queue.js';
 import {BegunRuns, type RunMeter} from './run-meter.js';
 import {RestartWatch} from './restart-watch.js';
 
@@ -20,7 +20,7 @@
 	/** When the caller stops waiting, on the monotonic clock. */
 	deadlineAt: number;
 	/** Its position in the wait queue of the host; derived from its route if undefined. */
-	place?: CallPlace;
+	queuePosition?: QueuePosition;
 };
 
 /**
@@ -46,9 +46,9 @@
 	/** Counts requests that begin to run; undefined if they aren't counted. */
 	meter?: RunMeter;
 	/** Tracks poison requests, which crash endpoints; undefined if they aren't tracked. */
-	crashers?: CrashWatch;
+	poisonRequests?: PoisonRequestTracker;
 	/** Wait queue for slots; undefined to send requests at once. */
-	line?: EndpointLine;
+	queue?: EndpointQueue;
 	/** Budget of hedged attempts by service; undefined for no limit. */
 	hedges?: RetryBudget;
 };
@@ -115,7 +115,7 @@
 
 	/** Makes attempts until one is answered, the deadline passes or no further attempt is allowed. */
 	async run(): Promise<CallOutcome> {
-		const refusalMs = this.#settings.crashers?.findRefusalMs(this.#request);
+		const refusalMs = this.#settings.poisonRequests?.findRetryDelayMs(this.#request);
 		if (refusalMs !== undefined) {
 			return {kind: 'not-run', reason: poisonRequestReason, retryAfterMs: refusalMs};
 		}
@@ -259,7 +259,7 @@
 			}
 
 			directory.recordPace(id, performance.now() - startedAt);
-			this.#settings.crashers?.noteFinished(this.#request);
+			this.#settings.poisonRequests?.recordFinished(this.#request);
 			this.#admission.recordWork(performance.now() - startedAt);
 			return {kind: 'answered', answer, endpoint: id};
 		} catch (error) {
@@ -284,7 +284,7 @@
 			directory.recordFailure(id);
 		}
 
-		recordBrokenAttempt(this.#settings.crashers, {
+		recordBrokenAttempt(this.#settings.poisonRequests, {
 			endpoint: id, request: this.#request, isNotRun: isProvenNotRun(error), hasRestarted,
 		});
 		if (isProvenNotRun(error)) {
@@ -296,7 +296,7 @@
 	}
 
 	#toServingRequest(): ServingRequest {
-		const {deadlineAt, place: queuePosition, ...request} = this.#request;
+		const {deadlineAt, queuePosition, ...request} = this.#request;
 		return {...request, remainingMs: Math.max(1, Math.round(deadlineAt - performance.now()))};
 	}
 }
--- a/packages/direct/src/endpoint-directory.ts
+++ b/packages/direct/src/endpoint-directory.ts
@@ -2,15 +2,15 @@
  * Holds the registered endpoints with their state as this process knows it, and chooses endpoints for attempts.
  */
 import {
-	chooseDirect, defaultPolicy, findSlowPace, Lateness, listBetter, ReturnPlan, type Policy,
+	chooseDirect, defaultPolicy, findSlowPaceMs, EventLoopLag, listFasterEndpoints, RetryAfterPlan, type Policy,
 } from '@wasabiusher/decisions';
 import type {ServingHead} from '@wasabiusher/backends';
 import {dropOldest, type Random, type RegisteredEndpoint} from '@wasabiusher/shared';
-import type {RationSource} from '@wasabiusher/slots';
+import type {AllocationSource} from '@wasabiusher/slots';
 import {PersistentSpeeds} from './persistent-speeds.js';
 import {chooseMove} from './endpoint-moves.js';
 import {hasSharedHeadroom, isEligible, type EndpointRequirement} from './endpoint-requirement.js';
-import {EndpointStanding} from './endpoint-state.js';
+import {EndpointState} from './endpoint-state.js';
 import {LoadWindows} from './load-windows.js';
 import {compareIncarnations} from './restart-watch.js';
 import {SlotLimits} from './slot-limits.js';
@@ -29,26 +29,26 @@
 /** Registered endpoints and their state. */
 export class EndpointDirectory {
 	/** Persistent speeds, also of endpoints that are gone. */
-	readonly classes = new PersistentSpeeds();
+	readonly persistentSpeeds = new PersistentSpeeds();
 	/** Weight loads in progress. */
 	readonly loads: LoadWindows;
-	readonly #states = new Map<string, EndpointStanding>();
+	readonly #states = new Map<string, EndpointState>();
 	/** State of endpoints that are no longer used because their registration has vanished. */
-	readonly #retired = new Map<string, EndpointStanding>();
+	readonly #retired = new Map<string, EndpointState>();
 	readonly #random: Random;
 	readonly #policy: Policy;
-	readonly #eventLoopLag: Lateness;
+	readonly #eventLoopLag: EventLoopLag;
 	readonly #changeListeners = new Set<(service: string) => void>();
 	/** Listeners by endpoint, called when the endpoint has restarted. */
 	readonly #restartListeners = new Map<string, Set<() => void>>();
-	readonly #reportedPaces = new ReportedPaces(this.classes);
+	readonly #reportedPaces = new ReportedPaces(this.persistentSpeeds);
 	#slotLimits: SlotLimits | undefined;
 	#moveCount = 0;
 	/** Retry-after plans by service. */
-	readonly #returnPlans = new Map<string, ReturnPlan>();
+	readonly #returnPlans = new Map<string, RetryAfterPlan>();
 
 	/** @param eventLoopLag - lag of this process; events that it reads late don't show the pace of the endpoints */
-	constructor(random: Random, policy = defaultPolicy, eventLoopLag = new Lateness()) {
+	constructor(random: Random, policy = defaultPolicy, eventLoopLag = new EventLoopLag()) {
 		this.#random = random;
 		this.#policy = policy;
 		this.#eventLoopLag = eventLoopLag;
@@ -65,7 +65,7 @@
 
 		const state = known && relation === 'same' ? known : this.#create(endpoint, known);
 		state.register(endpoint);
-		this.classes.guess(state);
+		this.persistentSpeeds.guess(state);
 		for (const {model, version} of endpoint.models) {
 			state.recordVersion(model, version);
 			this.loads.end({endpoint: endpoint.id, model, version});
@@ -116,7 +116,7 @@
 	}
 
 	/** State of all registered endpoints. */
-	listStandings(): readonly EndpointStanding[] {
+	listStates(): readonly EndpointState[] {
 		return [...this.#states.values()].filter(({vanishedAt}) => vanishedAt === undefined);
 	}
 
@@ -132,7 +132,7 @@
 
 	/** Time after which a caller that was refused for lack of headroom should retry, in milliseconds. */
 	planRetryAfterMs(service: string): number {
-		const plan = this.#returnPlans.get(service) ?? new ReturnPlan();
+		const plan = this.#returnPlans.get(service) ?? new RetryAfterPlan();
 		this.#returnPlans.set(service, plan);
 		const serving = [...this.#states.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
 		return plan.plan(serving.map(state => state.toHeadroom()));
@@ -161,7 +161,7 @@
 	}
 
 	/** Limits attempts to the slots allocated to this host from now on. */
-	shareSlots(source: RationSource): SlotLimits {
+	shareSlots(source: AllocationSource): SlotLimits {
 		const slotLimits = new SlotLimits(source, id => this.#states.get(id));
 		this.#slotLimits = slotLimits;
 		source.onChange(() => {
@@ -233,20 +233,20 @@
 		const state = this.#states.get(id);
 		state?.recordRunPace(unitMs);
 		if (state) {
-			this.classes.record(state);
+			this.persistentSpeeds.record(state);
 		}
 	}
 
 	/** Persistent speed of an endpoint as measured by any process, in milliseconds per unit of work; undefined until known. */
-	findClassMs(id: string): number | undefined {
+	findPersistentMs(id: string): number | undefined {
 		const state = this.#states.get(id);
-		return this.#policy.plansTexts ? state?.speed.classMs : state?.bestMs;
+		return this.#policy.plansTexts ? state?.speed.persistentMs : state?.bestMs;
 	}
 
 	/** Assumes the persistent speeds in `classes` for endpoints that this process has not measured. */
-	guessClasses(): void {
+	assumePersistentSpeeds(): void {
 		for (const state of this.#states.values()) {
-			this.classes.guess(state);
+			this.persistentSpeeds.guess(state);
 		}
 	}
 
@@ -256,7 +256,7 @@
 	}
 
 	/** Records paces that another process has measured, in milliseconds per unit by endpoint. */
-	learnPaces(paces: Readonly<Record<string, number>>): void {
+	recordReportedPaces(paces: Readonly<Record<string, number>>): void {
 		this.#reportedPaces.record(paces, id => this.#states.get(id));
 	}
 
@@ -278,7 +278,7 @@
 		}
 
 		const candidates = this.#listEligible({...requirement, waiter: undefined}).filter(state => state !== current && state.vanishedAt === undefined);
-		const better = listBetter(current.toCandidate(undefined), candidates.map(state => state.toCandidate(requirement.warmKey, requirement.dedicated)), isLong);
+		const better = listFasterEndpoints(current.toCandidate(undefined), candidates.map(state => state.toCandidate(requirement.warmKey, requirement.dedicated)), isLong);
 		const chosen = chooseDirect(better, this.#random.next());
 		const state = chosen && this.#states.get(chosen.id);
 		if (state) {
@@ -301,7 +301,7 @@
 
 		const {units: unitsLeft, dueInMs, warmKey, dedicated} = requirement;
 		const state = chooseMove({
-			text: {madeHere, unitsLeft, dueInMs},
+			text: {unitsMadeHere: madeHere, unitsLeft, dueInMs},
 			current,
 			listEligible: () => this.#listEligible({...requirement, waiter: undefined}).filter(({vanishedAt}) => vanishedAt === undefined),
 			warmKey,
@@ -336,10 +336,10 @@
 	}
 
 	/** Endpoints that meet the requirements and may be used now. */
-	#listEligible(requirement: EndpointRequirement): EndpointStanding[] {
+	#listEligible(requirement: EndpointRequirement): EndpointState[] {
 		const slowPaceMs = requirement.avoidsSlow ? this.#findSlowPace(requirement.service) : undefined;
 		const model = requirement.oldestVersion?.model ?? requirement.exactVersion?.model;
-		const allows = (state: EndpointStanding) => requirement.waiter === undefined || this.#slotLimits === undefined || this.#slotLimits.allows(state);
+		const allows = (state: EndpointState) => requirement.waiter === undefined || this.#slotLimits === undefined || this.#slotLimits.allows(state);
 		const eligible = [...this.#states.values()].filter(state => state.isAvailable && isEligible(state, requirement) && !state.isSlower(slowPaceMs)
 			&& (model === undefined || !this.loads.isLoading(state.endpoint.id, model)) && allows(state));
 		const {dedicated} = requirement;
@@ -353,24 +353,24 @@
 
 	#findSlowPace(service: string): number | undefined {
 		const serving = [...this.#states.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
-		return findSlowPace(serving.map(({persistentMs}) => persistentMs));
+		return findSlowPaceMs(serving.map(({persistentMs}) => persistentMs));
 	}
 
-	#choose(states: readonly EndpointStanding[], requirement: EndpointRequirement): EndpointStanding | undefined {
+	#choose(states: readonly EndpointState[], requirement: EndpointRequirement): EndpointState | undefined {
 		const {units, dueInMs} = requirement;
 		const text = units === undefined || !this.#policy.plansTexts ? undefined : {units, dueInMs};
 		const chosen = chooseDirect(states.map(state => state.toCandidate(requirement.warmKey, requirement.dedicated)), this.#random.next(), text);
 		return chosen && this.#states.get(chosen.id);
 	}
 
-	#begin(state: EndpointStanding, {warmKey, waiter}: EndpointRequirement): void {
+	#begin(state: EndpointState, {warmKey, waiter}: EndpointRequirement): void {
 		state.begin(warmKey);
 		this.#slotLimits?.recordBegun(state, waiter);
 	}
 
-	#create(endpoint: RegisteredEndpoint, previous: EndpointStanding | undefined): EndpointStanding {
+	#create(endpoint: RegisteredEndpoint, previous: EndpointState | undefined): EndpointState {
 		this.loads.forget(endpoint.id);
-		return new EndpointStanding(endpoint, this.#policy, previous?.countOpenAttempts());
+		return new EndpointState(endpoint, this.#policy, previous?.countOpenAttempts());
 	}
 
 	#retireVanished(): void {
@@ -386,12 +386,12 @@
 	}
 
 	/** Keeps the state of an endpoint that is no longer used: its registration may return, and its open attempts still have to end. */
-	#retire(id: string, state: EndpointStanding): void {
+	#retire(id: string, state: EndpointState): void {
 		this.#retired.set(id, state);
 		dropOldest(this.#retired, maxRetired);
 	}
 
-	#notify({endpoint: {service}}: EndpointStanding): void {
+	#notify({endpoint: {service}}: EndpointState): void {
 		this.#notifyService(service);
 	}
 
--- a/packages/direct/src/endpoint-queue.ts
+++ b/packages/direct/src/endpoint-queue.ts
@@ -2,7 +2,7 @@
  * The wait queue of this host for endpoint slots.
  */
 import {Pace} from '@wasabiusher/decisions';
-import {HostLine, ReturnTurns} from '@wasabiusher/slots';
+import {HostQueue, RecentRefusals} from '@wasabiusher/slots';
 import type {RegisteredEndpoint} from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
 import type {EndpointRequirement} from './endpoint-requirement.js';
@@ -14,19 +14,19 @@
  * Queues calls, generations and scores. A call whose expected wait is shorter than its service time waits for an endpoint that isn't slow; one that would
  * wait longer takes any endpoint, so that the calls of a large customer fill the slow endpoints.
  */
-export class EndpointLine extends HostLine<QueueRequirement, RegisteredEndpoint> {
+export class EndpointQueue extends HostQueue<QueueRequirement, RegisteredEndpoint> {
 	/** Tracks refused calls, so that their retries are recognized. */
-	readonly returns = new ReturnTurns();
+	readonly returns = new RecentRefusals();
 	/** Service time of a call, by service. */
 	readonly #workPaces = new Map<string, Pace>();
 
 	constructor(directory: EndpointDirectory) {
 		super({
-			namePool: ({service}) => service,
-			nameLane: nameEligibilityClass,
+			getPoolName: ({service}) => service,
+			getEligibilityKey: nameEligibilityClass,
 			adapt: ({need, workMs}, waitMs) => need.needsHeadroom ? {...need, avoidsSlow: waitMs < workMs} : need,
 			take: ({avoided, ...need}) => (avoided === undefined ? undefined : directory.acquire({...need, excluded: new Set([avoided])})) ?? directory.acquire(need),
-			planReturn: ({service}) => directory.planRetryAfterMs(service),
+			getRetryDelayMs: ({service}) => directory.planRetryAfterMs(service),
 			onChange: listener => directory.onChange(listener),
 		});
 	}
--- a/packages/direct/src/endpoint-requirement.ts
+++ b/packages/direct/src/endpoint-requirement.ts
@@ -1,7 +1,7 @@
 /**
  * The requirements of an attempt on its endpoint, and the check whether an endpoint meets them.
  */
-import type {EndpointStanding} from './endpoint-state.js';
+import type {EndpointState} from './endpoint-state.js';
 import type {SlotWaiter} from './slot-limits.js';
 
 /** Requirements of an attempt on its endpoint. */
@@ -37,12 +37,12 @@
 };
 
 /** Whether an endpoint that other processes fill too has headroom. Only half of its free slots count, since several processes see the same ones. */
-export function hasSharedHeadroom({endpoint, open, others}: EndpointStanding): boolean {
+export function hasSharedHeadroom({endpoint, open, others}: EndpointState): boolean {
 	return open < Math.max(1, Math.floor((endpoint.slots - others) / 2)) && open + others < endpoint.slots;
 }
 
 /** Whether an endpoint meets the requirements, as far as this process knows. Pauses and weight loads are checked by the caller of this function. */
-export function isEligible(state: EndpointStanding, {service, excluded, oldestVersion, exactVersion, openLimit, avoidsFull, needsHeadroom}: EndpointRequirement): boolean {
+export function isEligible(state: EndpointState, {service, excluded, oldestVersion, exactVersion, openLimit, avoidsFull, needsHeadroom}: EndpointRequirement): boolean {
 	const {endpoint, open, others} = state;
 	return endpoint.service === service
 		&& !endpoint.isDraining
--- a/packages/direct/src/endpoint-state.ts
+++ b/packages/direct/src/endpoint-state.ts
@@ -2,7 +2,7 @@
  * The state of an endpoint as one process knows it: load, pace, weight versions, refusals and failures.
  */
 import {
-	AttemptPause, BestPace, defaultPolicy, isRoomExpected, SpeedModel, type DirectCandidate, type EndpointRoom, type EndpointSpeed, type Policy,
+	AttemptBackoff, BestPace, defaultPolicy, hasExpectedHeadroom, SpeedModel, type DirectCandidate, type EndpointBacklog, type EndpointSpeed, type Policy,
 } from '@wasabiusher/decisions';
 import type {EndpointLoad, ServingHead} from '@wasabiusher/backends';
 import {dropOldest, type RegisteredEndpoint} from '@wasabiusher/shared';
@@ -12,10 +12,10 @@
 const maxPauseMs = 2000;
 
 /** Pauses after a refusal, in milliseconds: the first is the service time of a few requests, the longest a sixth of a weight load. */
-const refusalPause = {firstMs: 50, longestMs: 150};
+const refusalPause = {initialMs: 50, maxMs: 150};
 
 /** Pauses after a silence, in milliseconds; an endpoint that stops responding usually stays unresponsive for seconds. */
-const silencePause = {firstMs: 200, longestMs: 2000};
+const silencePause = {initialMs: 200, maxMs: 2000};
 
 /** Age after which a reported load is ignored, in milliseconds. */
 const maxLoadAgeMs = 1000;
@@ -30,7 +30,7 @@
 const misdirectedStatus = 421;
 
 /** The state of one endpoint. Times are on the monotonic clock. */
-export class EndpointStanding {
+export class EndpointState {
 	endpoint: RegisteredEndpoint;
 	/** When its registration vanished; undefined while it is registered. */
 	vanishedAt: number | undefined;
@@ -38,8 +38,8 @@
 	/** Best pace as measured by this process, and by any process. */
 	readonly #ownBest = new BestPace();
 	readonly #best = new BestPace();
-	readonly #refusals = new AttemptPause(refusalPause);
-	readonly #silences = new AttemptPause(silencePause);
+	readonly #refusals = new AttemptBackoff(refusalPause);
+	readonly #silences = new AttemptBackoff(silencePause);
 	/** When an answer or an event last arrived from it. */
 	#lastReceivedAt = Number.NEGATIVE_INFINITY;
 	/** Newest known version of each model; a running endpoint never returns to an older one. */
@@ -112,8 +112,8 @@
 
 	/** Persistent and episodic speed without transient slowness, in milliseconds per unit of work; undefined until measured. */
 	get persistentMs(): number | undefined {
-		const {classMs, spell} = this.#model.speed;
-		return classMs === undefined ? this.#model.recentMs : classMs * spell;
+		const {persistentMs, episodicFactor} = this.#model.speed;
+		return persistentMs === undefined ? this.#model.recentMs : persistentMs * episodicFactor;
 	}
 
 	/** Whether it is persistently slower than a pace in milliseconds per unit; false if either is unknown. */
@@ -123,15 +123,15 @@
 
 	/** Whether it probably has headroom for one more request now. */
 	get hasExpectedHeadroom(): boolean {
-		return isRoomExpected({
-			slots: this.endpoint.slots, open: this.#open, others: this.others, ageMs: performance.now() - this.#loadAt, workMs: this.paceMs,
+		return hasExpectedHeadroom({
+			slots: this.endpoint.slots, open: this.#open, openElsewhere: this.others, ageMs: performance.now() - this.#loadAt, workMs: this.paceMs,
 		});
 	}
 
 	/** Whether no pause prevents an attempt now. */
 	get isAvailable(): boolean {
 		const {pausesAfterRefusals, pausesAfterSilences} = this.#policy;
-		return performance.now() >= this.#pausedUntil && (this.#refusals.isOpen || !pausesAfterRefusals) && (this.#silences.isOpen || !pausesAfterSilences);
+		return performance.now() >= this.#pausedUntil && (this.#refusals.canAttempt || !pausesAfterRefusals) && (this.#silences.canAttempt || !pausesAfterSilences);
 	}
 
 	/** Newest known version of a model. */
@@ -193,7 +193,7 @@
 			this.#load = load;
 			this.#loadAt = performance.now();
 			this.#openAtLoad = this.#open;
-			this.#model.recordMoment(load.slowness ?? 1);
+			this.#model.recordTransient(load.slowness ?? 1);
 		}
 
 		if (!isNotRun) {
@@ -239,7 +239,7 @@
 
 	/** Assumes a persistent speed that was measured by another process or earlier, in milliseconds per unit. */
 	guessPersistentSpeed(unitMs: number): void {
-		this.#model.guessClass(unitMs);
+		this.#model.assumePersistent(unitMs);
 	}
 
 	/** Its speed, split into persistent, episodic and transient parts. */
@@ -249,7 +249,7 @@
 
 	/** Its persistent speed, if this process has measured it well enough to report it, in milliseconds per unit. */
 	get ownPersistentMs(): number | undefined {
-		return this.#model.ownClassMs;
+		return this.#model.ownPersistentMs;
 	}
 
 	/** Records the best pace that another process has reported, in milliseconds per unit. */
@@ -268,7 +268,7 @@
 	}
 
 	/** Its known occupancy. Load reports lag, so requests that are open here always count. */
-	toHeadroom(): EndpointRoom {
+	toHeadroom(): EndpointBacklog {
 		const {slots} = this.endpoint;
 		const occupied = this.#open + this.others;
 		return {
@@ -290,11 +290,11 @@
 			id,
 			slots,
 			open: this.#open,
-			others: this.others,
+			openElsewhere: this.others,
 			paceMs: weighsPaces ? this.paceMs : undefined,
-			moment: weighsPaces && plansTexts ? this.#model.moment : 1,
-			isWarm: prefersWarm && warmKey !== undefined && this.#warmKeys.has(warmKey),
-			isHome: dedicated?.has(id) ?? false,
+			transientFactor: weighsPaces && plansTexts ? this.#model.transientFactor : 1,
+			hasCachedPrefix: prefersWarm && warmKey !== undefined && this.#warmKeys.has(warmKey),
+			isDedicated: dedicated?.has(id) ?? false,
 			isConnected: prefersConnected && now - this.#lastEndedAt < keepAliveMs,
 		};
 	}
--- a/packages/direct/src/index.ts
+++ b/packages/direct/src/index.ts
@@ -1,12 +1,12 @@
 /** Sends calls, runs and weight orders straight to endpoints, without an agent on the endpoint's host. */
 export * from './call.js';
-export type {CrashWatch} from './poison-requests.js';
+export type {PoisonRequestTracker} from './poison-requests.js';
 export * from './persistent-speeds.js';
 export * from './endpoint-directory.js';
 export type {EndpointRequirement} from './endpoint-requirement.js';
 export * from './endpoint-queue.js';
-export type {CallPlace} from './call-admission.js';
-export type {EndpointStanding} from './endpoint-state.js';
+export type {QueuePosition} from './call-admission.js';
+export type {EndpointState} from './endpoint-state.js';
 export * from './sample-run.js';
 export * from './weight-orders.js';
 export * from './stream-call.js';
--- a/packages/direct/src/load-announcements.ts
+++ b/packages/direct/src/load-announcements.ts
@@ -42,7 +42,7 @@
 };
 
 /** Sends and receives load announcements. */
-export class LoadNews {
+export class LoadAnnouncements {
 	/** Rows written, rows that failed to be written, loads received from other hosts, and unreadable rows. */
 	readonly counts = {
 		loadRows: 0, loadRowsFailed: 0, loadsHeard: 0, loadRowsUnreadable: 0,
@@ -60,7 +60,7 @@
 	}
 
 	/** Schedules the announcement of a load with its expected duration in milliseconds; returns at once. */
-	tell(load: WeightLoad, forMs: number): void {
+	announce(load: WeightLoad, forMs: number): void {
 		this.#pending.set(`${load.endpoint} ${load.model}`, {load, forMs});
 		this.#scheduleWrite();
 	}
--- a/packages/direct/src/load-schedule.ts
+++ b/packages/direct/src/load-schedule.ts
@@ -77,7 +77,7 @@
 		const {receivedAt, intervalMs} = published;
 		const {loadDelayMs, timesLoads} = this.#policy;
 		return shouldLoad({
-			...group, sinceMs: performance.now() - receivedAt, waiting: timesLoads ? this.#findWaiting(model) : undefined, loadMs: this.#loadMs, intervalMs,
+			...group, sinceMs: performance.now() - receivedAt, waitingGenerations: timesLoads ? this.#findWaiting(model) : undefined, loadMs: this.#loadMs, intervalMs,
 		}, loadDelayMs);
 	}
 }
--- a/packages/direct/src/load-windows.ts
+++ b/packages/direct/src/load-windows.ts
@@ -48,7 +48,7 @@
 	 *
 	 * @param forMs - expected remaining time in milliseconds; 0 or less ends the load
 	 */
-	note({endpoint, model, version}: WeightLoad, forMs: number): void {
+	record({endpoint, model, version}: WeightLoad, forMs: number): void {
 		const key = toKey(endpoint, model);
 		const known = this.#windows.get(key);
 		const isOld = (known?.version ?? 0) > version || (this.#findVersion(endpoint, model) ?? 0) >= version;
@@ -80,7 +80,7 @@
 		const version = model === undefined ? undefined : this.#published.get(model);
 		if (version !== undefined && refusesWithFreeSlots(head) && (this.#findVersion(endpoint, model!) ?? 0) < version && !this.isLoading(endpoint, model!)) {
 			this.counts.loadsMet += 1;
-			this.note({endpoint, model: model!, version}, refusedLoadMs);
+			this.record({endpoint, model: model!, version}, refusedLoadMs);
 		}
 	}
 
--- a/packages/direct/src/persistent-speeds.ts
+++ b/packages/direct/src/persistent-speeds.ts
@@ -4,7 +4,7 @@
  * Load pattern: hosts and endpoints are replaced one after the other all day. A host that has just started distributes the generations of a step before
  * it has measured anything; measurements of other hosts tell it which endpoints are fast. Runs at the endpoint itself replace an assumed speed.
  */
-import type {EndpointStanding} from './endpoint-state.js';
+import type {EndpointState} from './endpoint-state.js';
 
 /** Smallest change of a speed that is published, as a factor; load alone makes a full endpoint a fifth slower than an idle one. */
 const changeFactor = 1.25;
@@ -13,16 +13,16 @@
 const maxSpeeds = 20_000;
 
 /** The persistent speed of the endpoint at an address, in milliseconds per unit of work. */
-export type EndpointClass = {service: string; address: string; classMs: number};
+export type PersistentSpeed = {service: string; address: string; classMs: number};
 
 /** Known persistent speeds, by service and address. */
 export class PersistentSpeeds {
-	readonly #speeds = new Map<string, EndpointClass>();
+	readonly #speeds = new Map<string, PersistentSpeed>();
 	/** Speeds that the store holds or other hosts have reported, by the same keys. */
 	readonly #published = new Map<string, number>();
 
 	/** Assumes the last known speed at the endpoint's address, unless this process has measured the endpoint. */
-	guess(state: EndpointStanding): void {
+	guess(state: EndpointState): void {
 		const known = this.#speeds.get(toKey(state.endpoint));
 		if (known && state.ownPersistentMs === undefined) {
 			state.guessPersistentSpeed(known.classMs);
@@ -30,31 +30,31 @@
 	}
 
 	/** Records the speed that this process has measured, if any. */
-	record({endpoint: {service, address}, ownPersistentMs}: EndpointStanding): void {
+	record({endpoint: {service, address}, ownPersistentMs}: EndpointState): void {
 		if (ownPersistentMs !== undefined) {
 			this.#store({service, address, classMs: ownPersistentMs});
 		}
 	}
 
 	/** Records a speed that another host has reported. */
-	learn(entry: EndpointClass): void {
+	recordReported(entry: PersistentSpeed): void {
 		this.#store(entry);
 		this.#published.set(toKey(entry), entry.classMs);
 	}
 
 	/** Speeds that are unpublished or have changed since they were published. */
-	listNews(): EndpointClass[] {
+	listUnpublished(): PersistentSpeed[] {
 		return [...this.#speeds.values()].filter(entry => isChanged(entry.classMs, this.#published.get(toKey(entry))));
 	}
 
 	/** Marks speeds as held by the store. */
-	noteTold(entries: readonly EndpointClass[]): void {
+	markPublished(entries: readonly PersistentSpeed[]): void {
 		for (const entry of entries) {
 			this.#published.set(toKey(entry), entry.classMs);
 		}
 	}
 
-	#store(entry: EndpointClass): void {
+	#store(entry: PersistentSpeed): void {
 		const key = toKey(entry);
 		this.#speeds.delete(key);
 		this.#speeds.set(key, entry);
--- a/packages/direct/src/poison-requests.ts
+++ b/packages/direct/src/poison-requests.ts
@@ -4,15 +4,15 @@
 import type {CallerRequest} from './call.js';
 
 /** Tracks the requests that crash endpoints. */
-export type CrashWatch = {
+export type PoisonRequestTracker = {
 	/** Time until a poison request may be retried, in milliseconds; undefined if the request may run now. */
-	findRefusalMs(request: CallerRequest): number | undefined;
+	findRetryDelayMs(request: CallerRequest): number | undefined;
 	/** Records that a request got no answer and may have run. */
-	noteBroken(endpoint: string, request: CallerRequest): void;
+	recordBroken(endpoint: string, request: CallerRequest): void;
 	/** Records that an endpoint is unreachable or has restarted. */
-	noteDown(endpoint: string): void;
+	recordDown(endpoint: string): void;
 	/** Records that an endpoint has answered a request, which shows that the request isn't poison. */
-	noteFinished(request: CallerRequest): void;
+	recordFinished(request: CallerRequest): void;
 };
 
 /** Reason given to the caller of a refused poison request. */
@@ -28,12 +28,12 @@
 };
 
 /** Reports a failed attempt to the tracker, if there is one. */
-export function recordBrokenAttempt(watch: CrashWatch | undefined, {endpoint, request, isNotRun, hasRestarted}: BrokenAttempt): void {
+export function recordBrokenAttempt(watch: PoisonRequestTracker | undefined, {endpoint, request, isNotRun, hasRestarted}: BrokenAttempt): void {
 	if (!isNotRun) {
-		watch?.noteBroken(endpoint, request);
+		watch?.recordBroken(endpoint, request);
 	}
 
 	if (isNotRun || hasRestarted) {
-		watch?.noteDown(endpoint);
+		watch?.recordDown(endpoint);
 	}
 }
--- a/packages/direct/src/reported-paces.ts
+++ b/packages/direct/src/reported-paces.ts
@@ -4,7 +4,7 @@
  * Load pattern: a host measures thirty endpoints, and each report goes to all hosts. A report therefore holds some of the endpoints, in rotation.
  */
 import type {PersistentSpeeds} from './persistent-speeds.js';
-import type {EndpointStanding} from './endpoint-state.js';
+import type {EndpointState} from './endpoint-state.js';
 
 /** Selects the paces to report, and records the paces that other hosts report. */
 export class ReportedPaces {
@@ -17,7 +17,7 @@
 	}
 
 	/** Best recent paces that this process has measured, in milliseconds per unit, of at most `maxCount` endpoints. */
-	list(states: readonly EndpointStanding[], maxCount: number): Record<string, number> {
+	list(states: readonly EndpointState[], maxCount: number): Record<string, number> {
 		const known = states.flatMap(({endpoint: {id}, ownBestMs}) => ownBestMs === undefined ? [] : [[id, Math.round(ownBestMs * 10) / 10] as const]);
 		const offset = known.length > maxCount ? this.#offset % known.length : 0;
 		this.#offset = offset + maxCount;
@@ -25,13 +25,13 @@
 	}
 
 	/** Records paces that another process has measured, in milliseconds per unit by endpoint. */
-	record(paces: Readonly<Record<string, number>>, findState: (id: string) => EndpointStanding | undefined): void {
+	record(paces: Readonly<Record<string, number>>, findState: (id: string) => EndpointState | undefined): void {
 		for (const [id, unitMs] of Object.entries(paces)) {
 			const state = findState(id);
 			if (state) {
 				const {service, address} = state.endpoint;
 				state.recordReportedPace(unitMs);
-				this.#speeds.learn({service, address, classMs: unitMs});
+				this.#speeds.recordReported({service, address, classMs: unitMs});
 				this.#speeds.guess(state);
 			}
 		}
--- a/packages/direct/src/sample-run.ts
+++ b/packages/direct/src/sample-run.ts
@@ -13,7 +13,7 @@
 } from '@wasabiusher/shared';
 import type {EndpointDirectory} from './endpoint-directory.js';
 import type {EndpointRequirement} from './endpoint-requirement.js';
-import type {EndpointLine} from './endpoint-queue.js';
+import type {EndpointQueue} from './endpoint-queue.js';
 import {PhaseTimes, type RunPhase} from './phase-times.js';
 import {RestartWatch} from './restart-watch.js';
 import {findUrgency, SampleSearch} from './sample-search.js';
@@ -27,7 +27,7 @@
 	batch?: string;
 	model: string | undefined;
 	/** Oldest weight version that may generate it. */
-	leastVersion: number;
+	minWeightVersion: number;
 	isSingleVersion: boolean;
 	/** Key of the prompt that the samples of a group share. */
 	group: string | undefined;
@@ -37,7 +37,7 @@
 	/** Whether its runs avoid endpoints whose slots are all taken by their known load, so that they delay no other work. */
 	avoidsFull?: boolean;
 	/** Its position in the wait queue: its flow for fair queueing, when it is due on the monotonic clock, and its rank among waiters due at the same time. */
-	place?: {turn: string; dueAt: number; rank: number};
+	queuePosition?: {turn: string; dueAt: number; rank: number};
 	/** When it should be complete, on the monotonic clock; undefined if unknown. */
 	dueAt?: number;
 	/** Expected number of remaining events after `made` events; undefined if unknown. */
@@ -45,7 +45,7 @@
 };
 
 /** The text generated so far, with the weight versions that generated it. */
-export type SampleText = {
+export type GeneratedText = {
 	/** Data of each event, in order; the event ids count from 1. */
 	events: string[];
 	versions: Set<number>;
@@ -58,18 +58,18 @@
  * - `expired`: the deadline has passed
  * - `stopped`: its batch has ended or has another owner
  */
-export type SampleOutcome = {kind: 'made'; text: SampleText} | {kind: 'impossible' | 'failed' | 'expired' | 'stopped'};
+export type SampleOutcome = {kind: 'made'; text: GeneratedText} | {kind: 'impossible' | 'failed' | 'expired' | 'stopped'};
 
 export type SampleRunSettings = {
 	directory: EndpointDirectory;
 	client: ServingClient;
 	log: Log;
 	/** Wait queue for slots; undefined if the sample polls for an endpoint itself. */
-	line?: EndpointLine;
+	queue?: EndpointQueue;
 	/** The current route of the sample's batch; undefined once it was removed. */
 	findRoute(): Route | undefined;
 	/** Dedicated endpoints, which are used before others; undefined if all are equal. */
-	findHomes?(): ReadonlySet<string> | undefined;
+	findDedicated?(): ReadonlySet<string> | undefined;
 	/** Returns a random number in [0, 1). */
 	chance(): number;
 };
@@ -84,7 +84,7 @@
 const impossibleStatus = 422;
 
 /** Maximum silence of a run before it is resumed at another endpoint, in milliseconds; loading weights takes about a second. */
-export const silenceMs = 4000;
+export const maxSilenceMs = 4000;
 
 type RunStep = 'again' | SampleOutcome;
 
@@ -96,7 +96,7 @@
 	readonly #settings: SampleRunSettings;
 	readonly #sample: SampleRequest;
 	readonly #signal: AbortSignal;
-	readonly #text: SampleText;
+	readonly #text: GeneratedText;
 	readonly #startedAt = performance.now();
 	readonly #times = new PhaseTimes();
 	/** Number of events that an earlier owner had already generated. */
@@ -117,7 +117,7 @@
 	 * @param signal - aborts when this process no longer needs the sample
 	 * @param text - the retained text of an earlier owner
 	 */
-	constructor(settings: SampleRunSettings, sample: SampleRequest, signal: AbortSignal, text?: SampleText) {
+	constructor(settings: SampleRunSettings, sample: SampleRequest, signal: AbortSignal, text?: GeneratedText) {
 		this.#settings = settings;
 		this.#sample = sample;
 		this.#signal = signal;
@@ -127,7 +127,7 @@
 	}
 
 	/** The text generated so far; grows while `run` is in progress. */
-	get text(): SampleText {
+	get text(): GeneratedText {
 		return this.#text;
 	}
 
@@ -365,7 +365,7 @@
 	}
 
 	#appendEvent({id, data, version}: RunEvent): void {
-		const {leastVersion: oldestVersion, isSingleVersion} = this.#sample;
+		const {minWeightVersion: oldestVersion, isSingleVersion} = this.#sample;
 		const {events, versions} = this.#text;
 		if (id !== events.length + 1) {
 			throw new PlatformError('invalid', `expected event ${events.length + 1}, got ${id}`);
--- a/packages/direct/src/sample-search.ts
+++ b/packages/direct/src/sample-search.ts
@@ -4,7 +4,7 @@
 import type {RegisteredEndpoint, Route} from '@wasabiusher/shared';
 import {chooseService} from './call.js';
 import type {EndpointRequirement} from './endpoint-requirement.js';
-import type {EndpointLine, QueueRequirement} from './endpoint-queue.js';
+import type {EndpointQueue, QueueRequirement} from './endpoint-queue.js';
 import type {SampleRequest, SampleRunSettings} from './sample-run.js';
 
 /** Maximum number of open requests of this process at an endpoint, as a multiple of its slots: further ones wait here, where they can still go to another endpoint. */
@@ -68,7 +68,7 @@
 	 */
 	async find(route: Route, begunVersion: number | undefined, avoided: string | undefined, estimateRemaining: RemainingEstimate): Promise<SearchResult> {
 		const requirement = {...this.#toRequirement(route, begunVersion), ...estimateRemaining()};
-		const {line: queue} = this.#settings;
+		const {queue} = this.#settings;
 		const acquired = queue ? undefined : this.#acquire(requirement, avoided);
 		if (acquired) {
 			return {requirement, endpoint: acquired, isVersionLost: false};
@@ -95,8 +95,8 @@
 	}
 
 	#toRequirement(route: Route, begunVersion: number | undefined): EndpointRequirement {
-		const {chance, findHomes: findDedicated} = this.#settings;
-		const {model, leastVersion: oldestVersion, isSingleVersion, group, avoidsFull} = this.#sample;
+		const {chance, findDedicated} = this.#settings;
+		const {model, minWeightVersion: oldestVersion, isSingleVersion, group, avoidsFull} = this.#sample;
 		return {
 			service: chooseService(route, chance()),
 			oldestVersion: model === undefined ? undefined : {model, version: oldestVersion},
@@ -122,10 +122,10 @@
 		return exactVersion !== undefined && registered.length > 0 && !registered.some(({id}) => directory.findVersion(id, exactVersion.model) === exactVersion.version);
 	}
 
-	async #waitInQueue(queue: EndpointLine, route: Route, requirement: QueueRequirement): Promise<RegisteredEndpoint | undefined> {
+	async #waitInQueue(queue: EndpointQueue, route: Route, requirement: QueueRequirement): Promise<RegisteredEndpoint | undefined> {
 		const {directory, findRoute} = this.#settings;
 		const {
-			id, model = '', deadlineAt, place: queuePosition = {turn: model, dueAt: deadlineAt, rank: 0},
+			id, model = '', deadlineAt, queuePosition = {turn: model, dueAt: deadlineAt, rank: 0},
 		} = this.#sample;
 		const answer = await queue.wait({
 			id, kind: 'text', need: requirement, urgency: findUrgency(this.#sample, route), weight: 1, workMs: 0, ...queuePosition,
--- a/packages/direct/src/slot-limits.ts
+++ b/packages/direct/src/slot-limits.ts
@@ -6,8 +6,8 @@
  */
 import {chooseDirect} from '@wasabiusher/decisions';
 import type {ServingHead} from '@wasabiusher/backends';
-import type {RationSource, Want} from '@wasabiusher/slots';
-import type {EndpointStanding} from './endpoint-state.js';
+import type {AllocationSource, QueuedWork} from '@wasabiusher/slots';
+import type {EndpointState} from './endpoint-state.js';
 
 /** Work that waits for a slot. */
 export type SlotWaiter = {
@@ -48,8 +48,8 @@
 
 /** Slot requests and limits of contended endpoints. */
 export class SlotLimits {
-	readonly #source: RationSource;
-	readonly #find: (endpoint: string) => EndpointStanding | undefined;
+	readonly #source: AllocationSource;
+	readonly #find: (endpoint: string) => EndpointState | undefined;
 	/** Requests by waiter, and waiters by endpoint. */
 	readonly #requests = new Map<string, SlotRequest>();
 	readonly #waiterIds = new Map<string, Set<string>>();
@@ -57,25 +57,25 @@
 	readonly #contendedUntil = new Map<string, number>();
 
 	/** @param find - returns the state of an endpoint */
-	constructor(source: RationSource, find: (endpoint: string) => EndpointStanding | undefined) {
+	constructor(source: AllocationSource, find: (endpoint: string) => EndpointState | undefined) {
 		this.#source = source;
 		this.#find = find;
 	}
 
 	/** Whether one more request may be sent to an endpoint. */
-	allows({endpoint, open}: EndpointStanding): boolean {
+	allows({endpoint, open}: EndpointState): boolean {
 		const limit = this.#source.findLimit(endpoint.id);
 		return limit === undefined || open < limit;
 	}
 
 	/** Number of an endpoint's slots that may be filled without a grant: half of the free ones, since several hosts see the same free slots. */
-	findFreePart(endpoint: string): number {
+	findDefaultLimit(endpoint: string): number {
 		const state = this.#find(endpoint);
 		return state ? Math.max(1, Math.floor((state.endpoint.slots - state.others) * unreportedFraction)) : 1;
 	}
 
 	/** Records that a request was sent. */
-	recordBegun(state: EndpointStanding, waiter: SlotWaiter | undefined): void {
+	recordBegun(state: EndpointState, waiter: SlotWaiter | undefined): void {
 		const requestedEndpoint = waiter && this.#withdraw(waiter.id);
 		const {id, slots} = state.endpoint;
 		if (state.open > slots * unreportedFraction) {
@@ -91,12 +91,12 @@
 	}
 
 	/** Records that a request has ended. */
-	recordEnd(state: EndpointStanding): void {
+	recordEnd(state: EndpointState): void {
 		this.#report(state);
 	}
 
 	/** Marks an endpoint as contended if the head of its answer shows a refusal for lack of free slots. */
-	recordHead(state: EndpointStanding | undefined, {isNotRun, load}: ServingHead): void {
+	recordHead(state: EndpointState | undefined, {isNotRun, load}: ServingHead): void {
 		if (state && isNotRun && load && load.running + load.waiting >= load.slots) {
 			this.#markContended(state.endpoint.id);
 			this.#report(state);
@@ -108,7 +108,7 @@
 	 *
 	 * @param list - lists the endpoints that would be eligible if they had headroom
 	 */
-	recordUnmet({waiter, dueInMs = defaultDueMs, avoidsFull}: UnmetRequirement, list: (overrides: typeof withoutLimits) => EndpointStanding[]): void {
+	recordUnmet({waiter, dueInMs = defaultDueMs, avoidsFull}: UnmetRequirement, list: (overrides: typeof withoutLimits) => EndpointState[]): void {
 		const now = performance.now();
 		const known = waiter && this.#requests.get(waiter.id);
 		const isRecent = known !== undefined && now - known.renewedAt < minRequestIntervalMs;
@@ -166,18 +166,18 @@
 		this.#contendedUntil.set(endpoint, performance.now() + contentionMs);
 	}
 
-	#report({endpoint: {id}, open, others, loadAgeMs}: EndpointStanding): void {
+	#report({endpoint: {id}, open, others, loadAgeMs}: EndpointState): void {
 		if (this.#contendedUntil.has(id)) {
-			this.#source.want({
+			this.#source.updateDemand({
 				endpoint: id, filled: open, wants: this.#listWants(id), ...(loadAgeMs < freshLoadMs ? {others} : {}),
 			});
 		}
 	}
 
 	/** Waiters for an endpoint: their number by urgency, each with the earliest due time. */
-	#listWants(endpoint: string): Want[] {
+	#listWants(endpoint: string): QueuedWork[] {
 		const now = performance.now();
-		const wants = new Map<number, Want>();
+		const wants = new Map<number, QueuedWork>();
 		for (const waiter of this.#waiterIds.get(endpoint) ?? []) {
 			const {urgency, dueAt} = this.#requests.get(waiter)!;
 			const known = wants.get(urgency);
@@ -187,7 +187,7 @@
 		return [...wants.values()].toSorted((a, b) => a.urgency - b.urgency);
 	}
 
-	#choose(candidates: readonly EndpointStanding[]): string | undefined {
+	#choose(candidates: readonly EndpointState[]): string | undefined {
 		const weighted = candidates.map(state => {
 			const candidate = state.toCandidate(undefined);
 			return {...candidate, open: candidate.open + (this.#waiterIds.get(candidate.id)?.size ?? 0)};
--- a/packages/direct/src/stream-call.ts
+++ b/packages/direct/src/stream-call.ts
@@ -56,7 +56,7 @@
 	}
 
 	async open(): Promise<StreamOutcome> {
-		const refusalMs = this.#settings.crashers?.findRefusalMs(this.#request);
+		const refusalMs = this.#settings.poisonRequests?.findRetryDelayMs(this.#request);
 		if (refusalMs !== undefined) {
 			return {kind: 'not-run', reason: poisonRequestReason, retryAfterMs: refusalMs};
 		}
@@ -205,7 +205,7 @@
 	}
 
 	#recordBroken(endpoint: string, error: unknown, {hasRestarted}: RestartWatch): void {
-		recordBrokenAttempt(this.#settings.crashers, {
+		recordBrokenAttempt(this.#settings.poisonRequests, {
 			endpoint, request: this.#request, isNotRun: isProvenNotRun(error), hasRestarted,
 		});
 	}
@@ -222,7 +222,7 @@
 			throw error;
 		}
 
-		this.#settings.crashers?.noteFinished(this.#request);
+		this.#settings.poisonRequests?.recordFinished(this.#request);
 	}
 
 	#release(): void {
@@ -234,7 +234,7 @@
 	}
 
 	#toServingRequest(after: number | undefined): ServingRequest {
-		const {deadlineAt, place: queuePosition, ...request} = this.#request;
+		const {deadlineAt, queuePosition, ...request} = this.#request;
 		return {...request, remainingMs: Math.max(1, Math.round(deadlineAt - performance.now())), ...(after === undefined ? {} : {resumeAfter: after})};
 	}
 }
--- a/packages/direct/src/weight-orders.ts
+++ b/packages/direct/src/weight-orders.ts
@@ -6,7 +6,7 @@
  * No order is sent without the lease, and none for a version that the endpoint already holds.
  */
 import {
-	defaultPolicy, placeModels, type ModelNeed, type Policy,
+	defaultPolicy, assignModels, type ModelDemand, type Policy,
 } from '@wasabiusher/decisions';
 import type {
 	LoadMode, OrderOutcome, ServingClient, ServingReport,
@@ -25,9 +25,9 @@
 export type WeightOrdersSettings = {
 	directory: EndpointDirectory;
 	client: ServingClient;
-	right: OrderLease;
+	lease: OrderLease;
 	/** Time for which the lease must still be held when an order is sent, in milliseconds; 0 where endpoints themselves refuse an outdated fence. */
-	orderRoomMs?: number;
+	orderMarginMs?: number;
 	/** Name of this process, sent with each order. */
 	holder: string;
 	log: Log;
@@ -35,11 +35,11 @@
 	/** How a service's endpoints treat runs in progress while they load. */
 	chooseMode(service: string): LoadMode;
 	/** Announces a load to the other hosts with its expected duration in milliseconds; 0 withdraws the announcement. */
-	tellLoad?(load: WeightLoad, forMs: number): void;
+	announceLoad?(load: WeightLoad, forMs: number): void;
 	/** Whether the configuration names a service; endpoints of other services get no orders. By default all services do. */
 	isServed?(service: string): boolean;
 	/** Recent demand of the steps of each model. */
-	findNeeds?(): ReadonlyMap<string, ModelNeed>;
+	findDemands?(): ReadonlyMap<string, ModelDemand>;
 	/** Number of generations of a model that have not begun, over all hosts; undefined if unknown. */
 	findWaiting?(model: string): number | undefined;
 };
@@ -121,23 +121,23 @@
 	/** Records a published version; one that is older than the known one is ignored. */
 	publish(model: string, version: number): void {
 		this.#schedule.publish(model, version);
-		this.#settings.directory.loads.recordPublished(model, this.findPublished(model) ?? version);
+		this.#settings.directory.loads.recordPublished(model, this.findPublishedVersion(model) ?? version);
 	}
 
 	/** The newest published version of a model. */
-	findPublished(model: string): number | undefined {
+	findPublishedVersion(model: string): number | undefined {
 		return this.#schedule.findVersion(model);
 	}
 
 	/** The newest published version of each model. */
-	get published(): ReadonlyMap<string, number> {
+	get publishedVersions(): ReadonlyMap<string, number> {
 		return this.#schedule.versions;
 	}
 
 	/** Checks the orders in progress and sends the due ones; call it several times a second. */
 	tick(): void {
-		const {right, directory} = this.#settings;
-		if (!right.holds()) {
+		const {lease, directory} = this.#settings;
+		if (!lease.holds()) {
 			this.#loading.clear();
 			return;
 		}
@@ -168,26 +168,26 @@
 	}
 
 	#assign(endpoints: readonly RegisteredEndpoint[]): Map<string, readonly string[]> {
-		const {directory, findNeeds} = this.#settings;
-		return placeModels({
-			holders: endpoints.map(({id, models}) => ({
-				id, versions: new Map(models.map(({model}) => [model, directory.findVersion(id, model) ?? 0])), paceMs: directory.findClassMs(id),
+		const {directory, findDemands} = this.#settings;
+		return assignModels({
+			endpoints: endpoints.map(({id, models}) => ({
+				id, versions: new Map(models.map(({model}) => [model, directory.findVersion(id, model) ?? 0])), paceMs: directory.findPersistentMs(id),
 			})),
 			published: this.#schedule.versions,
-			needs: findNeeds?.() ?? new Map<string, ModelNeed>(),
+			demands: findDemands?.() ?? new Map<string, ModelDemand>(),
 			last: new Map([...this.#assignments.values()].flatMap(({models: assigned}) => [...assigned]).flatMap(([id, models]) => models.length === 1 ? [[id, models[0]!]] : [])),
 		}, this.#policy.placement);
 	}
 
 	/** Logs the endpoints whose assigned model has changed. */
 	#logChanges(before: ReadonlyMap<string, readonly string[]> | undefined, assigned: ReadonlyMap<string, readonly string[]>): void {
-		const {directory, findNeeds, log} = this.#settings;
-		const demands = findNeeds?.();
+		const {directory, findDemands, log} = this.#settings;
+		const demands = findDemands?.();
 		for (const [endpoint, models] of assigned) {
 			const from = before?.get(endpoint)?.join(',');
 			if (models.length === 1 && models[0] !== from) {
 				log.info('endpoint_placed', {
-					endpoint, model: models[0], from, work: demands?.get(models[0]!)?.work, longest: demands?.get(models[0]!)?.longest, classMs: directory.findClassMs(endpoint),
+					endpoint, model: models[0], from, work: demands?.get(models[0]!)?.work, longest: demands?.get(models[0]!)?.longest, classMs: directory.findPersistentMs(endpoint),
 				});
 			}
 		}
@@ -244,8 +244,8 @@
 	}
 
 	#announceLoad(load: WeightLoad, forMs: number): void {
-		this.#settings.directory.loads.note(load, forMs);
-		this.#settings.tellLoad?.(load, forMs);
+		this.#settings.directory.loads.record(load, forMs);
+		this.#settings.announceLoad?.(load, forMs);
 	}
 
 	async #fetchReport(endpoint: RegisteredEndpoint): Promise<ServingReport | undefined> {
@@ -341,7 +341,7 @@
 
 	/** Reads how many orders the endpoint has accepted, then sends the order conditional on that count. */
 	async #sendOrder(endpoint: RegisteredEndpoint, model: string, version: number): Promise<void> {
-		const {right, client, holder, directory, log, chooseMode, orderRoomMs} = this.#settings;
+		const {lease, client, holder, directory, log, chooseMode, orderMarginMs} = this.#settings;
 		const report = await this.#fetchReport(endpoint);
 		const isHeld = (directory.findVersion(endpoint.id, model) ?? 0) >= version;
 		if (!report || report.isBusy || isHeld) {
@@ -350,8 +350,8 @@
 		}
 
 		// The lease may have lapsed while the report was in transit, and must not lapse while the order is.
-		const {fence} = right;
-		if (fence === 0 || !right.holds(orderRoomMs)) {
+		const {fence} = lease;
+		if (fence === 0 || !lease.holds(orderMarginMs)) {
 			return;
 		}
 
--- a/packages/duties/__tests__/fixtures.ts
+++ b/packages/duties/__tests__/fixtures.ts
@@ -51,7 +51,7 @@
 			const random = new Random(hostCount);
 			const store = new UsageStore(rows);
 			const recorder = new UsageRecorder({
-				store, host: name, incarnation: `${name}-${hostCount}`, windowMs, readTrueMs, countHosts: () => hostCount, chance: () => random.next(), log,
+				store, host: name, incarnation: `${name}-${hostCount}`, windowMs, readReferenceMs: readTrueMs, countHosts: () => hostCount, chance: () => random.next(), log,
 			});
 			const right = {
 				holds: (effectMs = 0) => duty.holder === name && effectMs < duty.remainingMs,
@@ -60,7 +60,7 @@
 				},
 			};
 			const reporter = new UsageReporter({
-				store, client: duties, right, holder: name, windowMs, dueMs, readTrueMs, log, sendRoomMs: 1500,
+				store, client: duties, lease: right, holder: name, windowMs, dueMs, readReferenceMs: readTrueMs, log, sendMarginMs: 1500,
 			});
 			recorder.start();
 			reporter.start();
--- a/packages/duties/__tests__/reference-clock.spec.ts
+++ b/packages/duties/__tests__/reference-clock.spec.ts
@@ -1,6 +1,6 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
-import {TrueTime} from '../src/index.js';
+import {ReferenceClock} from '../src/index.js';
 
 describe('ReferenceClock', () => {
 	let clock: Clock;
@@ -16,14 +16,14 @@
 	});
 
 	it('uses this host\'s clock before the first answer of the store', () => {
-		expect(new TrueTime(() => undefined).read()).to.equal(1_000_000);
+		expect(new ReferenceClock(() => undefined).read()).to.equal(1_000_000);
 	});
 
 	it('uses the median of all hosts while its own clock deviates, and its own clock again afterwards', () => {
 		const origin = performance.now();
-		const time = new TrueTime(() => 100_000 + performance.now() - origin);
+		const time = new ReferenceClock(() => 100_000 + performance.now() - origin);
 		for (const [host, ms] of [['a', offsetMs], ['b', offsetMs + 3], ['c', offsetMs + 2000], ['d', offsetMs - 2], ['e', offsetMs - 2000]] as const) {
-			time.learn(host, ms);
+			time.recordOffset(host, ms);
 		}
 
 		clock.setSystemTime(1_002_000);
--- a/packages/duties/__tests__/usage.spec.ts
+++ b/packages/duties/__tests__/usage.spec.ts
@@ -44,7 +44,7 @@
 	});
 
 	afterEach(() => {
-		expect(world.duties.breaches).to.deep.equal([]);
+		expect(world.duties.violations).to.deep.equal([]);
 		for (const host of hosts) {
 			host.kill();
 		}
--- a/packages/duties/src/reference-clock.ts
+++ b/packages/duties/src/reference-clock.ts
@@ -9,7 +9,7 @@
 const maxErrorMs = 250;
 
 /** Reads the reference time, in milliseconds since the epoch. */
-export class TrueTime {
+export class ReferenceClock {
 	readonly #readStoreClockMs: () => number | undefined;
 	/** Time of day minus the store's clock by host, in milliseconds. */
 	readonly #offsets = new Map<string, number>();
@@ -26,7 +26,7 @@
 	}
 
 	/** Records the clock offset that another host has announced. */
-	learn(host: string, offsetMs: number): void {
+	recordOffset(host: string, offsetMs: number): void {
 		this.#offsets.set(host, offsetMs);
 	}
 
--- a/packages/duties/src/usage-recorder.ts
+++ b/packages/duties/src/usage-recorder.ts
@@ -30,7 +30,7 @@
 	windowMs: number;
 	log: Log;
 	/** Reads the reference time, in milliseconds since the epoch. */
-	readTrueMs(): number;
+	readReferenceMs(): number;
 	/** Returns the number of known hosts of the deployment. */
 	countHosts(): number;
 	/** Returns a random number in [0, 1). */
@@ -57,7 +57,7 @@
 	constructor(settings: UsageRecorderSettings) {
 		this.#settings = settings;
 		this.#failures = new RepeatedFailures({log: settings.log, event: 'usage_not_told', overEvent: 'usage_told_again'});
-		this.#counts = new UsageCounts(settings.windowMs, settings.readTrueMs, () => {
+		this.#counts = new UsageCounts(settings.windowMs, settings.readReferenceMs, () => {
 			this.#scheduleWrite();
 		});
 		this.#finalWindow = this.#getNewestFinalWindow();
@@ -75,8 +75,8 @@
 	/** Writes the last counts of a process that accepts no more requests, so that no host waits for it. Never rejects. */
 	async leave(): Promise<void> {
 		this.stop();
-		const {windowMs, readTrueMs} = this.#settings;
-		const current = Math.floor(readTrueMs() / windowMs);
+		const {windowMs, readReferenceMs} = this.#settings;
+		const current = Math.floor(readReferenceMs() / windowMs);
 		this.#finalWindow = current;
 		this.#isLeaving = true;
 		this.#endedWindows.add(current);
@@ -92,13 +92,13 @@
 
 	/** Returns the newest window that can't change any more. */
 	#getNewestFinalWindow(): number {
-		const {windowMs, readTrueMs} = this.#settings;
-		return Math.floor((readTrueMs() - settlingMs) / windowMs) - 1;
+		const {windowMs, readReferenceMs} = this.#settings;
+		return Math.floor((readReferenceMs() - settlingMs) / windowMs) - 1;
 	}
 
 	#scheduleWindowEnd(): void {
-		const {windowMs, readTrueMs, chance} = this.#settings;
-		const untilEndMs = windowMs - (readTrueMs() % windowMs);
+		const {windowMs, readReferenceMs, chance} = this.#settings;
+		const untilEndMs = windowMs - (readReferenceMs() % windowMs);
 		this.#endTimer = setTimeout(() => {
 			this.#handleWindowEnd();
 			this.#scheduleWindowEnd();
--- a/packages/duties/src/usage-reporter.ts
+++ b/packages/duties/src/usage-reporter.ts
@@ -34,9 +34,9 @@
 export type UsageReporterSettings = {
 	store: UsageStore;
 	client: DutyClient;
-	right: DutyLease;
+	lease: DutyLease;
 	/** Time for which the right must last after a report is sent, in milliseconds; 0 if the platform rejects old fences itself. */
-	sendRoomMs?: number;
+	sendMarginMs?: number;
 	/** Name of the host. */
 	holder: string;
 	/** Length of a window, in milliseconds. */
@@ -45,7 +45,7 @@
 	dueMs: number;
 	log: Log;
 	/** Reads the reference time, in milliseconds since the epoch. */
-	readTrueMs(): number;
+	readReferenceMs(): number;
 };
 
 /** Reports windows while this host holds the duty. To be started on every host. */
@@ -104,14 +104,14 @@
 	}
 
 	#canAct(): boolean {
-		const {right} = this.#settings;
-		return right.holds() && right.fence > this.#refusedFence;
+		const {lease} = this.#settings;
+		return lease.holds() && lease.fence > this.#refusedFence;
 	}
 
 	/** Loads the state that earlier holders have left, once per fence. */
 	async #loadState(): Promise<void> {
-		const {store, right, log} = this.#settings;
-		const {fence} = right;
+		const {store, lease, log} = this.#settings;
+		const {fence} = lease;
 		if (this.#fence === fence) {
 			return;
 		}
@@ -152,13 +152,13 @@
 	}
 
 	async #closeDue(): Promise<void> {
-		const {windowMs, dueMs, readTrueMs, store} = this.#settings;
+		const {windowMs, dueMs, readReferenceMs, store} = this.#settings;
 		while (this.#canAct() && this.#nextWindow < this.#getCurrentWindow()) {
 			const window = this.#nextWindow;
 			// Windows are closed in ascending order.
 			// eslint-disable-next-line no-await-in-loop
 			const recorded = await store.readCounts(window);
-			const sinceEndMs = readTrueMs() - ((window + 1) * windowMs);
+			const sinceEndMs = readReferenceMs() - ((window + 1) * windowMs);
 			const expectedHosts = [...this.#lastWindowByHost].filter(([, last]) => last >= window - missingHostWindows).map(([host]) => host);
 			if (!shouldClose({
 				sinceEndMs, dueMs, recorded, expectedHosts,
@@ -215,9 +215,9 @@
 
 	/** Sends one report; returns false if it has to be sent again. */
 	async #send(report: StoredReport): Promise<boolean> {
-		const {client, right, holder, log, sendRoomMs} = this.#settings;
-		const {fence} = right;
-		if (fence === 0 || !right.holds(sendRoomMs)) {
+		const {client, lease, holder, log, sendMarginMs} = this.#settings;
+		const {fence} = lease;
+		if (fence === 0 || !lease.holds(sendMarginMs)) {
 			return false;
 		}
 
@@ -233,8 +233,8 @@
 
 	/** Returns the current window. */
 	#getCurrentWindow(): number {
-		const {windowMs, readTrueMs} = this.#settings;
-		return Math.floor(readTrueMs() / windowMs);
+		const {windowMs, readReferenceMs} = this.#settings;
+		return Math.floor(readReferenceMs() / windowMs);
 	}
 }
 
--- a/packages/entry/src/agent-links.ts
+++ b/packages/entry/src/agent-links.ts
@@ -20,7 +20,7 @@
  * most 10 KB/s of the 28 KB/s that a host may spend on control. A list of a few tens of hosts is read every second,
  * one of 11,700 every 3 minutes. A leaving agent does not depend on this: it reports that itself, immediately.
  */
-export const msPerMember = 15;
+export const refreshIntervalPerMemberMs = 15;
 
 /** Jitter as a fraction of the interval, so that entries started together do not read the list at the same time. */
 const refreshJitter = 0.2;
@@ -169,7 +169,7 @@
 			return;
 		}
 
-		const periodMs = Math.max(minRefreshIntervalMs, this.#members * msPerMember);
+		const periodMs = Math.max(minRefreshIntervalMs, this.#members * refreshIntervalPerMemberMs);
 		const jitter = 1 + (refreshJitter * (this.#settings.random.next() - 0.5));
 		this.#timer = setTimeout(() => {
 			void this.#refreshAndReschedule();
--- a/packages/entry/src/agent-subset.ts
+++ b/packages/entry/src/agent-subset.ts
@@ -10,13 +10,13 @@
  * Number of agents linked per service in each other data centre. They are enough to keep serving when all
  * agents of the own data centre are lost, at an eighth of the links.
  */
-export const farDegree = 8;
+export const remoteDegree = 8;
 
 /**
  * Number of other data centres linked per service, those of the own region first. With all of 18 data centres an entry
  * would have 208 links, and heartbeats and load reports alone would exceed the bandwidth budget for control tenfold.
  */
-export const farDataCentres = 3;
+export const maxRemoteDataCentres = 3;
 
 /** The entry that the subset is selected for. */
 export type SubsetOwner = {name: string; dataCentre: string; region: string};
@@ -54,7 +54,7 @@
 		return [...new Set([...others, name])].toSorted((a, b) => a.localeCompare(b));
 	}
 
-	/** Groups of the own data centre and, for each service, of up to `farDataCentres` others. */
+	/** Groups of the own data centre and, for each service, of up to `maxRemoteDataCentres` others. */
 	#listEligibleGroups(groups: ReadonlyMap<string, AgentGroup>): Map<string, AgentGroup> {
 		const {dataCentre: ownDataCentre, region: ownRegion} = this.#owner;
 		const remoteGroups = [...groups.values()].filter(({dataCentre}) => dataCentre !== ownDataCentre);
@@ -63,7 +63,7 @@
 			const sameRegion = new Set(others.filter(({region}) => region === ownRegion).map(group => group.dataCentre));
 			// Ranked by the name of the own data centre, so that all of its entries select the same others.
 			const ranked = orderByRank(`far/${ownDataCentre}`, others.map(group => group.dataCentre));
-			const chosen = [...ranked.filter(name => sameRegion.has(name)), ...ranked.filter(name => !sameRegion.has(name))].slice(0, farDataCentres);
+			const chosen = [...ranked.filter(name => sameRegion.has(name)), ...ranked.filter(name => !sameRegion.has(name))].slice(0, maxRemoteDataCentres);
 			return dataCentre === ownDataCentre || chosen.includes(dataCentre);
 		}));
 	}
@@ -75,7 +75,7 @@
 			return cached.chosen;
 		}
 
-		const degree = dataCentre === this.#owner.dataCentre ? defaultDegree : farDegree;
+		const degree = dataCentre === this.#owner.dataCentre ? defaultDegree : remoteDegree;
 		const chosen = findSubset(this.#owner.name, entries, agents, {degree});
 		this.#choices.set(key, {signature, chosen});
 		return chosen;
--- a/packages/entry/src/claims.ts
+++ b/packages/entry/src/claims.ts
@@ -46,7 +46,7 @@
 			},
 		});
 		this.#commits = new CommitGateway({
-			name, tables, maxDirect, listEntries, send: (entry, message) => this.#peers.send(entry, message),
+			name, tables, maxDirectEntries: maxDirect, listEntries, send: (entry, message) => this.#peers.send(entry, message),
 		});
 		const claims = new ClaimLog({
 			tables, objects, name, commits: this.#commits,
--- a/packages/entry/src/configuration-link.ts
+++ b/packages/entry/src/configuration-link.ts
@@ -3,7 +3,7 @@
  */
 import type {Message} from '@wasabiusher/link';
 import {
-	ConfigurationAdopter, type AdopterStatus, type ConfigurationAdopterSettings, type ConfigurationMessage, type ConfigurationOutput,
+	ConfigurationAdopter, type ConfigurationStatus, type ConfigurationAdopterSettings, type ConfigurationMessage, type ConfigurationOutput,
 } from '@wasabiusher/systems';
 import type {AcceptedConfiguration} from '@wasabiusher/shared';
 
@@ -43,7 +43,7 @@
 		return this.#adopter.isReady && this.accepted.version > 0;
 	}
 
-	describe(): AdopterStatus {
+	describe(): ConfigurationStatus {
 		return this.#adopter.describe();
 	}
 
@@ -61,7 +61,7 @@
 
 	/** Applies a change that an operator made through this entry. */
 	offer(accepted: AcceptedConfiguration): void {
-		this.#sendAll(this.#adopter.offer(accepted));
+		this.#sendAll(this.#adopter.adoptChange(accepted));
 	}
 
 	receive(agent: string, message: ConfigurationMessage): void {
