--- a/packages/entry/src/control.ts
+++ b/packages/entry/src/control.ts
@@ -14,7 +14,7 @@
  */
 import type {EndpointStatus, Message} from '@wasabiusher/link';
 import type {TableService, WeightStore} from '@wasabiusher/backends';
-import {LeaseHolder, TakeOverPace} from '@wasabiusher/record';
+import {LeaseHolder, TakeoverRateLimit} from '@wasabiusher/record';
 import {orderByRank, type Log, type Random} from '@wasabiusher/shared';
 import {
 	PlacementRunner, WeightRollout, type ControlledEndpoint, type ModelDemand, type RolloutProgress,
@@ -69,7 +69,7 @@
 class ShardedControl implements Control {
 	readonly #settings: ControlSettings;
 	readonly #shards = new Map<string, Shard>();
-	readonly #pace = new TakeOverPace();
+	readonly #pace = new TakeoverRateLimit();
 	#timer: NodeJS.Timeout | undefined;
 
 	constructor(settings: ControlSettings) {
@@ -144,7 +144,7 @@
 	#openShard(service: string): Shard {
 		const {name, tables, weights, random, log, send} = this.#settings;
 		const lease = new LeaseHolder({
-			tables, shard: `orders/${service}`, holder: name, random, log, pace: this.#pace,
+			tables, shard: `orders/${service}`, holder: name, random, log, takeoverLimit: this.#pace,
 		});
 		const rollout = new WeightRollout({
 			service,
--- a/packages/entry/src/entry.ts
+++ b/packages/entry/src/entry.ts
@@ -109,7 +109,7 @@
 		await handedOver;
 		await released;
 		await this.#claims.drain();
-		this.#invariants.checkNothingCutOff(this.#dispatcher.openCalls + this.#claims.openCalls);
+		this.#invariants.checkNothingOpen(this.#dispatcher.openCalls + this.#claims.openCalls);
 		this.#configuration.stop();
 		this.#announcer.stop();
 		await this.#operators.close();
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -2,5 +2,5 @@
 export * from './entry.js';
 export * from './settings.js';
 export {candidatesPerDataCentre as controlCandidates} from './control.js';
-export {msPerMember} from './agent-links.js';
-export {farDataCentres, farDegree} from './agent-subset.js';
+export {refreshIntervalPerMemberMs} from './agent-links.js';
+export {maxRemoteDataCentres, remoteDegree} from './agent-subset.js';
--- a/packages/gateway/__tests__/catalog.spec.ts
+++ b/packages/gateway/__tests__/catalog.spec.ts
@@ -12,7 +12,7 @@
 	});
 	const directory = new EndpointDirectory(new Random(1));
 	const orders = new WeightOrders({
-		directory, client: new MemoryServing(), right: {fence: 1, holds: () => false}, holder: 'a', log, chooseMode: () => 'continue',
+		directory, client: new MemoryServing(), lease: {fence: 1, holds: () => false}, holder: 'a', log, chooseMode: () => 'continue',
 	});
 	const catalog = new Catalog({
 		directory, orders, log, ownAddresses: new Set(['10.0.0.9:80']), format: {
--- a/packages/gateway/__tests__/poison-requests.spec.ts
+++ b/packages/gateway/__tests__/poison-requests.spec.ts
@@ -51,10 +51,10 @@
 
 	function crash({poisonRequests}: {poisonRequests: PoisonRequests}, endpoint: string, ...paths: string[]): void {
 		for (const path of paths) {
-			poisonRequests.noteBroken(endpoint, createRequest(path));
+			poisonRequests.recordBroken(endpoint, createRequest(path));
 		}
 
-		poisonRequests.noteDown(endpoint);
+		poisonRequests.recordDown(endpoint);
 	}
 
 	/** Applies new rows of the store to hosts. */
@@ -75,27 +75,27 @@
 		crash(a, 'e1', '/bad', '/good');
 		crash(b, 'e2', '/bad');
 		await follow(a, b);
-		expect(a.poisonRequests.findRefusalMs(createRequest('/bad'))).to.equal(undefined);
+		expect(a.poisonRequests.findRetryDelayMs(createRequest('/bad'))).to.equal(undefined);
 		crash(b, 'e3', '/bad');
 		await follow(a, b);
 		appliedVersion = 0;
 		const late = createHost('c');
 		await follow(late);
 		for (const {poisonRequests} of [a, b, late]) {
-			expect(poisonRequests.findRefusalMs(createRequest('/bad', {attemptId: 'r2'}))).to.be.within(1, 5000);
-			expect(poisonRequests.findRefusalMs(createRequest('/good'))).to.equal(undefined);
-			expect(poisonRequests.findRefusalMs(createRequest('/bad', {customer: 'd'}))).to.equal(undefined);
-			expect(poisonRequests.findRefusalMs(createRequest('/bad', {body: Buffer.from('x')}))).to.equal(undefined);
+			expect(poisonRequests.findRetryDelayMs(createRequest('/bad', {attemptId: 'r2'}))).to.be.within(1, 5000);
+			expect(poisonRequests.findRetryDelayMs(createRequest('/good'))).to.equal(undefined);
+			expect(poisonRequests.findRetryDelayMs(createRequest('/bad', {customer: 'd'}))).to.equal(undefined);
+			expect(poisonRequests.findRetryDelayMs(createRequest('/bad', {body: Buffer.from('x')}))).to.equal(undefined);
 		}
 	});
 
 	it('ignores requests whose connection broke while the endpoint stays up', async () => {
 		const a = createHost('a');
 		for (const endpoint of ['e1', 'e2', 'e3', 'e4']) {
-			a.poisonRequests.noteBroken(endpoint, createRequest('/grey'));
+			a.poisonRequests.recordBroken(endpoint, createRequest('/grey'));
 		}
 
-		expect(a.poisonRequests.findRefusalMs(createRequest('/grey'))).to.equal(undefined);
+		expect(a.poisonRequests.findRetryDelayMs(createRequest('/grey'))).to.equal(undefined);
 	});
 
 	it('clears a request on all hosts once one of them gets an answer, and admits any other again after a minute', async () => {
@@ -105,12 +105,12 @@
 		}
 
 		await follow(a, b);
-		b.poisonRequests.noteFinished(createRequest('/unlucky'));
+		b.poisonRequests.recordFinished(createRequest('/unlucky'));
 		await follow(a, b);
-		expect([a, b].map(({poisonRequests}) => poisonRequests.findRefusalMs(createRequest('/unlucky')))).to.deep.equal([undefined, undefined]);
-		expect(b.poisonRequests.findRefusalMs(createRequest('/bad'))).to.be.greaterThan(0);
+		expect([a, b].map(({poisonRequests}) => poisonRequests.findRetryDelayMs(createRequest('/unlucky')))).to.deep.equal([undefined, undefined]);
+		expect(b.poisonRequests.findRetryDelayMs(createRequest('/bad'))).to.be.greaterThan(0);
 		await clock.tickAsync(61_000);
-		expect([a, b].map(({poisonRequests}) => poisonRequests.findRefusalMs(createRequest('/bad')))).to.deep.equal([undefined, undefined]);
+		expect([a, b].map(({poisonRequests}) => poisonRequests.findRetryDelayMs(createRequest('/bad')))).to.deep.equal([undefined, undefined]);
 	});
 
 	it('removes expired rows and throws on a malformed one', async () => {
@@ -139,7 +139,7 @@
 			}
 
 			const call = new DirectCall({
-				directory, client: serving, random: new Random(i), log: createSilentLog(), crashers: poisonRequests,
+				directory, client: serving, random: new Random(i), log: createSilentLog(), poisonRequests,
 			}, route, createRequest('/bad'), new AbortController().signal).run();
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(20);
@@ -148,7 +148,7 @@
 			outcomes.push(kind);
 			for (const {id, runs} of endpoints) {
 				if (runs.length > 0) {
-					poisonRequests.noteDown(id);
+					poisonRequests.recordDown(id);
 				}
 			}
 
--- a/packages/gateway/__tests__/slot-sharing.spec.ts
+++ b/packages/gateway/__tests__/slot-sharing.spec.ts
@@ -77,7 +77,7 @@
 	function wantAll(count: number): void {
 		for (const {sharing} of hosts) {
 			for (const endpoint of endpoints) {
-				sharing.client.want({endpoint, filled: 0, wants: [{urgency: 1, dueInMs: 100, count}]});
+				sharing.client.updateDemand({endpoint, filled: 0, wants: [{urgency: 1, dueInMs: 100, count}]});
 			}
 		}
 	}
--- a/packages/gateway/src/catalog.ts
+++ b/packages/gateway/src/catalog.ts
@@ -66,7 +66,7 @@
 			const row = this.#settings.format.decodeOperatorRow(key, value);
 			operatorHandlers[row.kind](this, row);
 		} catch (error) {
-			this.#operatorFaults.note(change, error);
+			this.#operatorFaults.record(change, error);
 		}
 	}
 
@@ -97,7 +97,7 @@
 			directory.put(endpoint);
 		} catch (error) {
 			directory.remove(key);
-			this.#endpointFaults.note(change, error);
+			this.#endpointFaults.record(change, error);
 		}
 	}
 
@@ -115,7 +115,7 @@
 
 	publish({model, version}: PublishedVersion): void {
 		const {orders, log} = this.#settings;
-		if (version > (orders.findPublished(model) ?? 0)) {
+		if (version > (orders.findPublishedVersion(model) ?? 0)) {
 			log.info('version_published', {model, version});
 			orders.publish(model, version);
 		}
--- a/packages/gateway/src/endpoint-view.ts
+++ b/packages/gateway/src/endpoint-view.ts
@@ -1,11 +1,11 @@
 /**
  * Conversion of endpoint states to the form that operators read.
  */
-import type {EndpointStanding} from '@wasabiusher/direct';
+import type {EndpointState} from '@wasabiusher/direct';
 import type {EndpointView} from '@wasabiusher/shared';
 
 /** Converts this host's state of an endpoint to the view for operators. */
-export function toEndpointView(state: EndpointStanding): EndpointView {
+export function toEndpointView(state: EndpointState): EndpointView {
 	const {
 		endpoint: {id, service, dataCentre, slots, isDraining}, open, others, isAvailable, paceMs, bestMs, versions,
 	} = state;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -2,16 +2,16 @@
  * An entry host that calls endpoints directly, without agents: follows the configuration, routes calls, runs batches and orders weight loads.
  */
 import {
-	Batches, batchParts, BatchStore, batchTable, HostRegistry, hostTable, KeptTexts, SpeedRows,
+	Batches, batchParts, BatchStore, batchTable, HostRegistry, hostTable, RetainedTexts, SpeedRows,
 } from '@wasabiusher/batches';
 import {
-	defaultPolicy, Lateness, RetryBudget, type Policy,
+	defaultPolicy, EventLoopLag, RetryBudget, type Policy,
 } from '@wasabiusher/decisions';
 import type {LoadMode} from '@wasabiusher/backends';
 import {
-	DirectCall, EndpointDirectory, EndpointLine, LoadNews, StreamCall, WeightOrders, type CallerRequest, type CallOutcome, type CallSettings, type StreamOutcome,
+	DirectCall, EndpointDirectory, EndpointQueue, LoadAnnouncements, StreamCall, WeightOrders, type CallerRequest, type CallOutcome, type CallSettings, type StreamOutcome,
 } from '@wasabiusher/direct';
-import {TrueTime, Usage, UsageStore} from '@wasabiusher/duties';
+import {ReferenceClock, Usage, UsageStore} from '@wasabiusher/duties';
 import {LeaseHolder, PartTables, TableFollower} from '@wasabiusher/record';
 import {
 	describeError, type Deployment, type GatewayStatus, type Route,
@@ -75,17 +75,17 @@
 	readonly batches: Batches;
 	readonly #settings: GatewaySettings;
 	readonly #policy: Policy;
-	readonly #eventLoopLag = new Lateness();
+	readonly #eventLoopLag = new EventLoopLag();
 	/** Budget for hedged attempts of calls and scores, by service. */
 	readonly #hedges: RetryBudget | undefined;
 	readonly #directory: EndpointDirectory;
-	readonly #endpointQueue: EndpointLine | undefined;
+	readonly #endpointQueue: EndpointQueue | undefined;
 	readonly #catalog: Catalog;
 	readonly #hosts: HostRegistry;
 	readonly #poisonRequests: PoisonRequests;
 	readonly #lease: LeaseHolder;
 	readonly #orders: WeightOrders;
-	readonly #loadAnnouncements: LoadNews;
+	readonly #loadAnnouncements: LoadAnnouncements;
 	readonly #slotSharing: SlotSharing | undefined;
 	readonly #followers: TableFollower[];
 	readonly #operatorFollower: TableFollower;
@@ -95,7 +95,7 @@
 	readonly #routedStore: RoutedStore;
 	readonly #storeRecovery: StoreRecovery;
 	readonly #peerServer: PeerServer | undefined;
-	readonly #platformTime: TrueTime;
+	readonly #platformTime: ReferenceClock;
 	readonly #usage: Usage | undefined;
 	readonly #speedRows: SpeedRows | undefined;
 	#linkKey: string | undefined;
@@ -121,7 +121,7 @@
 			}),
 		});
 		this.#routedStore = rows;
-		this.#platformTime = new TrueTime(() => this.#storeBreaker.steadyStoreMs);
+		this.#platformTime = new ReferenceClock(() => this.#storeBreaker.steadyStoreMs);
 		this.#directory = new EndpointDirectory(random, policy, this.#eventLoopLag);
 		this.#slotSharing = policy.sharesSlots
 			? new SlotSharing({
@@ -134,22 +134,22 @@
 		this.#poisonRequests = new PoisonRequests({
 			rows, table: hostTable, host, directory: this.#directory, log, readStoreMs: () => this.#storeBreaker.storeMs,
 		});
-		this.#endpointQueue = policy.queuesAtHost ? new EndpointLine(this.#directory) : undefined;
+		this.#endpointQueue = policy.queuesAtHost ? new EndpointQueue(this.#directory) : undefined;
 		this.#lease = new LeaseHolder({
 			tables: new PartTables(rows), shard: 'weights', holder: host, isOnlyOnHost: true, random, log, termMs: leaseMs,
 		});
-		this.#loadAnnouncements = new LoadNews({
+		this.#loadAnnouncements = new LoadAnnouncements({
 			rows, table: batchTable, part: loadAnnouncementPart, writer: host, log, onLoad: (load, forMs) => {
-				this.#directory.loads.note(load, forMs);
+				this.#directory.loads.record(load, forMs);
 			},
 		});
 		this.#orders = new WeightOrders({
-			directory: this.#directory, client, right: this.#lease, holder: host, log, chooseMode: service => this.#chooseLoadMode(service),
-			orderRoomMs: settings.checksFences === false ? orderTimeoutMs : 0,
-			findNeeds: () => this.batches.listNeeds(),
-			tellLoad: policy.tellsLoads
+			directory: this.#directory, client, lease: this.#lease, holder: host, log, chooseMode: service => this.#chooseLoadMode(service),
+			orderMarginMs: settings.checksFences === false ? orderTimeoutMs : 0,
+			findDemands: () => this.batches.listDemands(),
+			announceLoad: policy.tellsLoads
 				? (load, forMs) => {
-					this.#loadAnnouncements.tell(load, forMs);
+					this.#loadAnnouncements.announce(load, forMs);
 				}
 				: undefined,
 			isServed: service => this.#catalog.deployment?.services.some(({name}) => name === service) ?? false,
@@ -158,27 +158,27 @@
 		});
 		this.#catalog = new Catalog({
 			format, directory: this.#directory, orders: this.#orders, log, onDown: endpoint => {
-				this.#poisonRequests.noteDown(endpoint);
+				this.#poisonRequests.recordDown(endpoint);
 			}, ownAddresses: settings.ownAddresses, onDeployment: settings.onDeployment,
 		});
 		this.#hosts = new HostRegistry({
-			rows, host, dataCentre, cores, address: settings.peers?.address, log, policy, findLateMs: () => this.#eventLoopLag.usualMs, ownsWork: () => this.batches.hasWork,
-			readClockMs: () => this.#platformTime.ownOffsetMs,
-			onClock: (otherHost, clockMs) => {
-				this.#platformTime.learn(otherHost, clockMs);
+			rows, host, dataCentre, cores, address: settings.peers?.address, log, policy, findEventLoopLagMs: () => this.#eventLoopLag.usualMs, hasWork: () => this.batches.hasWork,
+			readClockOffsetMs: () => this.#platformTime.ownOffsetMs,
+			onClockOffset: (otherHost, clockMs) => {
+				this.#platformTime.recordOffset(otherHost, clockMs);
 			},
 			listWaiting: () => this.batches.listWaiting(),
 			listPaces: maxCount => this.#directory.listOwnPaces(maxCount),
 			onPaces: paces => {
-				this.#directory.learnPaces(paces);
+				this.#directory.recordReportedPaces(paces);
 			},
 		});
 		this.batches = new Batches({
-			directory: this.#directory, line: this.#endpointQueue, client, random, log, policy, host, dataCentre, hosts: this.#hosts, hedges: this.#hedges,
+			directory: this.#directory, queue: this.#endpointQueue, client, random, log, policy, host, dataCentre, hosts: this.#hosts, hedges: this.#hedges,
 			store: new BatchStore(rows, this.#storeBreaker.guard(settings.blobs)),
-			keptTexts: new KeptTexts(rows),
+			retainedTexts: new RetainedTexts(rows),
 			findDeployment: () => this.#catalog.deployment,
-			findPublished: model => this.#orders.findPublished(model),
+			findPublishedVersion: model => this.#orders.findPublishedVersion(model),
 			readStoreMs: () => this.#storeBreaker.storeMs,
 			isStoreOpen: () => !this.#storeBreaker.isTripped || rows.isRelayed,
 		});
@@ -193,7 +193,7 @@
 		this.#requiredFollowers = [
 			this.#operatorFollower,
 			new TableFollower({
-				store: rows.probing, table: format.endpointTable, parts: [''], log, gatherMs: minFollowIntervalMs, chance, apply: change => {
+				store: rows.probing, table: format.endpointTable, parts: [''], log, batchingMs: minFollowIntervalMs, chance, apply: change => {
 					this.#catalog.applyEndpoint(change);
 				},
 			}),
@@ -210,7 +210,7 @@
 		this.#followers = [
 			...this.#requiredFollowers,
 			new TableFollower({
-				store: rows.probing, table: hostTable, parts: ['', poisonRequestPart], log, gatherMs: minFollowIntervalMs, chance,
+				store: rows.probing, table: hostTable, parts: ['', poisonRequestPart], log, batchingMs: minFollowIntervalMs, chance,
 				apply: change => {
 					if (change.part === poisonRequestPart) {
 						this.#poisonRequests.apply(change);
@@ -219,13 +219,13 @@
 					}
 				},
 				onContact: () => {
-					this.#hosts.noteContact();
+					this.#hosts.recordContact();
 				},
 			}),
 		];
 		this.#storeRecovery = new StoreRecovery({
 			followers: this.#followers, chance, countHosts: () => this.#hosts.count,
-			sendHeartbeat: async () => this.#hosts.beat(),
+			sendHeartbeat: async () => this.#hosts.sendHeartbeat(),
 			releaseWrites: () => {
 				this.batches.releaseCommits();
 			},
@@ -259,9 +259,9 @@
 			isHolder: this.#lease.holds(),
 			shares: this.batches.ownedCount,
 			waiting: this.batches.listWaiting(),
-			published: Object.fromEntries(this.#orders.published),
-			turns: this.#endpointQueue?.listTurns() ?? [],
-			endpoints: this.#directory.listStandings().map(state => toEndpointView(state)),
+			published: Object.fromEntries(this.#orders.publishedVersions),
+			turns: this.#endpointQueue?.listFlows() ?? [],
+			endpoints: this.#directory.listStates().map(state => toEndpointView(state)),
 		};
 	}
 
@@ -384,10 +384,10 @@
 			store: new UsageStore(this.#routedStore),
 			host,
 			incarnation: this.#hosts.incarnation,
-			right: this.#lease,
-			sendRoomMs: checksFences ? 0 : reportTimeoutMs,
+			lease: this.#lease,
+			sendMarginMs: checksFences ? 0 : reportTimeoutMs,
 			log,
-			readTrueMs: () => this.#platformTime.read(),
+			readReferenceMs: () => this.#platformTime.read(),
 			countHosts: () => this.#hosts.count,
 			chance: () => random.next(),
 		});
@@ -406,8 +406,8 @@
 	get #callSettings(): CallSettings {
 		const {client, random, log} = this.#settings;
 		return {
-			directory: this.#directory, line: this.#endpointQueue, client, random, log, policy: this.#policy, meter: this.#usage, hedges: this.#hedges,
-			crashers: this.#policy.refusesCrashers ? this.#poisonRequests : undefined,
+			directory: this.#directory, queue: this.#endpointQueue, client, random, log, policy: this.#policy, meter: this.#usage, hedges: this.#hedges,
+			poisonRequests: this.#policy.refusesCrashers ? this.#poisonRequests : undefined,
 		};
 	}
 
--- a/packages/gateway/src/poison-requests.ts
+++ b/packages/gateway/src/poison-requests.ts
@@ -8,7 +8,7 @@
 import {createHash} from 'node:crypto';
 import type {RowChange, RowStore} from '@wasabiusher/backends';
 import {CrashEvidence, PoisonGuard} from '@wasabiusher/decisions';
-import type {CallerRequest, CrashWatch, EndpointDirectory} from '@wasabiusher/direct';
+import type {CallerRequest, PoisonRequestTracker, EndpointDirectory} from '@wasabiusher/direct';
 import {decodeCrashRow, encodeCrashRow} from '@wasabiusher/record';
 import {describeError, type Log} from '@wasabiusher/shared';
 
@@ -39,11 +39,11 @@
 };
 
 /** Poison requests as observed by all hosts. */
-export class PoisonRequests implements CrashWatch {
+export class PoisonRequests implements PoisonRequestTracker {
 	/** Crashes of endpoints that had requests in flight, and refused requests. */
 	readonly counts = {crashesSeen: 0, crashersRefused: 0};
 	readonly #settings: PoisonRequestsSettings;
-	readonly #guard = new PoisonGuard({crashesToQuarantine, suspicionMs, firstTermMs});
+	readonly #guard = new PoisonGuard({crashesToQuarantine, suspicionMs, initialTermMs: firstTermMs});
 	readonly #evidence = new CrashEvidence();
 	/** Expiry time of each row on the store's clock in milliseconds, by row key. */
 	readonly #expiryMs = new Map<string, number>();
@@ -52,7 +52,7 @@
 		this.#settings = settings;
 	}
 
-	findRefusalMs(request: CallerRequest): number | undefined {
+	findRetryDelayMs(request: CallerRequest): number | undefined {
 		if (this.#guard.size === 0) {
 			return undefined;
 		}
@@ -66,13 +66,13 @@
 		return Math.min(maxRetryAfterMs, verdict.retryAfterMs);
 	}
 
-	noteBroken(endpoint: string, request: CallerRequest): void {
-		this.#evidence.noteBroken(endpoint, computeFingerprint(request), performance.now());
+	recordBroken(endpoint: string, request: CallerRequest): void {
+		this.#evidence.recordBroken(endpoint, computeFingerprint(request), performance.now());
 	}
 
-	noteDown(endpoint: string): void {
+	recordDown(endpoint: string): void {
 		const {directory, log} = this.#settings;
-		const fingerprints = this.#evidence.takeDown(endpoint, performance.now());
+		const fingerprints = this.#evidence.takeCrashed(endpoint, performance.now());
 		if (fingerprints.length === 0) {
 			return;
 		}
@@ -84,7 +84,7 @@
 		void this.#publish(fingerprints);
 	}
 
-	noteFinished(request: CallerRequest): void {
+	recordFinished(request: CallerRequest): void {
 		if (this.#guard.size === 0) {
 			return;
 		}
--- a/packages/gateway/src/slot-sharing.ts
+++ b/packages/gateway/src/slot-sharing.ts
@@ -6,7 +6,7 @@
 import type {Link, Message} from '@wasabiusher/link';
 import type {Log, Random} from '@wasabiusher/shared';
 import {
-	chooseHome, listHomeCandidates, RationDesk, RationHome, type HomeCandidate, type RationFor, type SlotDemand,
+	chooseCoordinator, listCoordinatorCandidates, AllocationClient, AllocationCoordinator, type CoordinatorCandidate, type HostAllocation, type SlotDemand,
 } from '@wasabiusher/slots';
 import {HostLinks} from './host-links.js';
 
@@ -31,15 +31,15 @@
 
 /** Client and coordinator of slot allocations on one host. */
 export class SlotSharing {
-	readonly client: RationDesk;
-	readonly coordinator: RationHome;
+	readonly client: AllocationClient;
+	readonly coordinator: AllocationCoordinator;
 	readonly links: HostLinks;
 	readonly #settings: SlotSharingSettings;
 	readonly #limits: SlotLimits;
 	/** Newest link from each other host to this one, by host name. */
 	readonly #inboundLinks = new Map<string, Link>();
-	readonly #coordinators = new Map<string, HomeCandidate | undefined>();
-	#candidates: HomeCandidate[] = [];
+	readonly #coordinators = new Map<string, CoordinatorCandidate | undefined>();
+	#candidates: CoordinatorCandidate[] = [];
 	#refreshedAt = Number.NEGATIVE_INFINITY;
 
 	constructor(settings: SlotSharingSettings) {
@@ -53,13 +53,13 @@
 				this.client.tick();
 			},
 		});
-		this.coordinator = new RationHome(allocations => {
+		this.coordinator = new AllocationCoordinator(allocations => {
 			this.#sendAllocations(allocations);
 		});
-		this.client = new RationDesk({
+		this.client = new AllocationClient({
 			send: demand => this.#sendDemand(demand),
-			isUsable: endpoint => this.#isUsable(endpoint),
-			findFreePart: endpoint => this.#limits.findFreePart(endpoint),
+			isCoordinatorAvailable: endpoint => this.#isUsable(endpoint),
+			findDefaultLimit: endpoint => this.#limits.findDefaultLimit(endpoint),
 		});
 		this.#limits = directory.shareSlots(this.client);
 	}
@@ -107,7 +107,7 @@
 
 	#refreshCandidates(): void {
 		const hosts = this.#settings.listHosts();
-		const candidates = listHomeCandidates(hosts);
+		const candidates = listCoordinatorCandidates(hosts);
 		const isSame = candidates.length === this.#candidates.length && candidates.every(({host, address}, i) => host === this.#candidates[i]!.host && address === this.#candidates[i]!.address);
 		if (!isSame) {
 			this.#candidates = candidates;
@@ -115,9 +115,9 @@
 		}
 	}
 
-	#findCoordinator(endpoint: string): HomeCandidate | undefined {
+	#findCoordinator(endpoint: string): CoordinatorCandidate | undefined {
 		if (!this.#coordinators.has(endpoint)) {
-			this.#coordinators.set(endpoint, chooseHome(endpoint, this.#settings.directory.get(endpoint)?.dataCentre ?? '', this.#candidates));
+			this.#coordinators.set(endpoint, chooseCoordinator(endpoint, this.#settings.directory.get(endpoint)?.dataCentre ?? '', this.#candidates));
 		}
 
 		return this.#coordinators.get(endpoint);
@@ -146,20 +146,20 @@
 	#allocate(host: string, demand: SlotDemand): void {
 		const slots = this.#settings.directory.get(demand.endpoint)?.slots;
 		if (slots !== undefined) {
-			this.coordinator.take(host, demand, slots);
+			this.coordinator.handleDemand(host, demand, slots);
 		}
 	}
 
 	#handleMessage(message: Message): void {
 		if (message.kind === 'slot-ration') {
-			this.client.take(message.ration);
+			this.client.handleAllocation(message.ration);
 		}
 	}
 
-	#sendAllocations(allocations: readonly RationFor[]): void {
+	#sendAllocations(allocations: readonly HostAllocation[]): void {
 		for (const {host, ration} of allocations) {
 			if (host === this.#settings.host) {
-				this.client.take(ration);
+				this.client.handleAllocation(ration);
 			} else {
 				this.#inboundLinks.get(host)?.send({kind: 'slot-ration', ration});
 			}
--- a/packages/load/src/model/placement-patterns.ts
+++ b/packages/load/src/model/placement-patterns.ts
@@ -1,7 +1,7 @@
 /**
  * Two models whose demand swaps shares every 10 minutes, on 6 engines; a change of model takes 15 s.
  */
-import {DemandHistory, planPlacement, type Holder} from '@wasabiusher/decisions';
+import {DemandHistory, planPlacement, type PlacedEndpoint} from '@wasabiusher/decisions';
 import {Random} from '@wasabiusher/shared';
 import type {Figure} from './figure.js';
 
@@ -32,7 +32,7 @@
 	const history = new DemandHistory();
 	const backlog = [0, 0];
 	const initial = [0, 0, 0, 0, 1, 1].slice(0, engineCount);
-	let holders: Holder[] = initial.map((model, i) => ({id: `engine-${i}`, holds: names[model]!, changedAt: Number.NEGATIVE_INFINITY}));
+	let holders: PlacedEndpoint[] = initial.map((model, i) => ({id: `engine-${i}`, holds: names[model]!, changedAt: Number.NEGATIVE_INFINITY}));
 	let changes = 0;
 	let served = 0;
 	let asked = 0;
--- a/packages/load/src/model/real-policy.ts
+++ b/packages/load/src/model/real-policy.ts
@@ -2,7 +2,7 @@
  * The real decisions over the model's endpoints, joined as the entry and agents join them.
  */
 import {
-	Admission, chooseEndpoint, ConcurrencyLimit, decideRetry, DrainRate, Ejection, FairQueue, Headroom, LaggingLoad, RetryBudget,
+	Admission, chooseEndpoint, ConcurrencyLimit, decideRetry, DrainRate, Ejection, FairQueue, Headroom, LoadEstimator, RetryBudget,
 	type Candidate,
 } from '@wasabiusher/decisions';
 import type {Random} from '@wasabiusher/shared';
@@ -26,7 +26,7 @@
 
 type Site = {
 	endpoint: ModelEndpoint;
-	load: LaggingLoad;
+	load: LoadEstimator;
 	limit: ConcurrencyLimit;
 	/** Time of a call over the expected. */
 	slowness: number;
@@ -65,7 +65,7 @@
 		this.#random = random;
 		const slots = endpoints.reduce((sum, endpoint) => sum + endpoint.slots, 0);
 		this.#sites = endpoints.map(endpoint => ({
-			endpoint, load: new LaggingLoad(), limit: new ConcurrencyLimit({min: 1, max: endpoint.slots, initial: endpoint.slots}), slowness: 1, reports: [],
+			endpoint, load: new LoadEstimator(), limit: new ConcurrencyLimit({min: 1, max: endpoint.slots, initial: endpoint.slots}), slowness: 1, reports: [],
 		}));
 		this.#admission = new Admission({
 			count: 200 * slots, work: 1e9, callerCount: 100 * slots, callerWork: 1e9,
@@ -259,7 +259,7 @@
 	/** Probes are calls of their own; no caller waits for them. */
 	#probe(now: number): void {
 		for (const {endpoint} of this.#sites) {
-			if (this.#ejection.tryTakeProbe(endpoint.id, now)) {
+			if (this.#ejection.tryStartProbe(endpoint.id, now)) {
 				const probe: Call = {
 					id: 'probe', caller: 'probe', class: 'interactive', at: now, deadlineAt: now, workMs: probeWorkMs, expectedMs: probeWorkMs,
 				};
--- a/packages/load/src/model/routing-sweep.ts
+++ b/packages/load/src/model/routing-sweep.ts
@@ -3,7 +3,7 @@
  * 85% load of calls of 100–300 ms. A quarter of the calls come in groups of eight with one long prompt.
  */
 import {
-	chooseEndpoint, LaggingLoad, PrefixIndex, type Candidate,
+	chooseEndpoint, LoadEstimator, PrefixIndex, type Candidate,
 } from '@wasabiusher/decisions';
 import {Random} from '@wasabiusher/shared';
 import {createArrivals, drawEvenly} from './arrivals.js';
@@ -32,7 +32,7 @@
 
 export type RoutingVariant = {choices: number; hasAffinity: boolean; isCorrected: boolean};
 
-type Entry = {loads: LaggingLoad[]; prefixes: PrefixIndex};
+type Entry = {loads: LoadEstimator[]; prefixes: PrefixIndex};
 
 type RoutingRun = {p99Ms: number; computed: number};
 
@@ -46,7 +46,7 @@
 export function runRouting(variant: RoutingVariant, seed: number): RoutingRun {
 	const random = new Random(seed);
 	const endpoints = createPool({endpoints: endpointCount, slots}, random);
-	const entries = Array.from({length: entryCount}, (): Entry => ({loads: endpoints.map(() => new LaggingLoad()), prefixes: new PrefixIndex()}));
+	const entries = Array.from({length: entryCount}, (): Entry => ({loads: endpoints.map(() => new LoadEstimator()), prefixes: new PrefixIndex()}));
 	const arrivals = createArrivals([{
 		class: 'interactive', callers: ['caller'], rate: () => load * endpointCount * slots * 1000 / meanMs, drawWork: drawEvenly(meanMs), expectedMs: meanMs, deadlineMs: untilMs,
 	}], untilMs, random);
@@ -97,7 +97,7 @@
 }
 
 /** Sends a call that an entry counts, and notes its time when it is answered. */
-function send(endpoint: ModelEndpoint, load: LaggingLoad, call: Call, {now, times}: {now: number; times: number[]}): void {
+function send(endpoint: ModelEndpoint, load: LoadEstimator, call: Call, {now, times}: {now: number; times: number[]}): void {
 	load.recordSent(now);
 	endpoint.start(call, now, (_, at) => {
 		load.recordEnded(at);
--- a/packages/load/src/model/step-patterns.ts
+++ b/packages/load/src/model/step-patterns.ts
@@ -107,7 +107,7 @@
 		const stragglers = remaining.map(({id, tokens}) => {
 			const {engine, made} = running.get(id)!;
 			return {
-				id, endpoint: `${engine}`, remainingTokens: tokens, madeTokens: made, speed: speeds[engine]!, isDoubled: doubled.has(id), stepLeftMs,
+				id, endpoint: `${engine}`, remainingTokens: tokens, madeTokens: made, speed: speeds[engine]!, hasCopy: doubled.has(id), stepLeftMs,
 			};
 		});
 		const places = idle.map((slots, engine) => ({id: `${engine}`, slots, speed: speeds[engine]!}));
@@ -118,7 +118,7 @@
 		this.#hasNews = false;
 		this.#ticksSince = 0;
 		this.#order = orderSamples([...left.values()].map(({group, index}) => ({
-			group, index, predictedTokens: this.#prediction.predict('step', `${group}`, maxTokens), isUnknown: !this.#prediction.knows('step', `${group}`),
+			group, index, predictedTokens: this.#prediction.predict('step', `${group}`, maxTokens), isUnknown: !this.#prediction.hasFinishedSample('step', `${group}`),
 		})));
 		const leftTokens = this.#order.reduce((sum, {predictedTokens}) => sum + predictedTokens, 0);
 		this.#timeLeftMs = leftTokens / speeds.reduce((sum, speed) => sum + (speed * slotsPerEngine), 0);
--- a/packages/load/src/model/weight-patterns.ts
+++ b/packages/load/src/model/weight-patterns.ts
@@ -3,7 +3,7 @@
  * 90 s of training, new weights fetched in 3 s and swapped to in 1 s, of which one in fifty fails.
  */
 import {
-	failReplica, isStale, judgeDispatch, planWave, shouldCancel, type Replica, type WaveLimits,
+	failReplica, isStale, decideDispatch, planWave, shouldCancel, type WeightReplica, type WaveLimits,
 } from '@wasabiusher/decisions';
 import {Random} from '@wasabiusher/shared';
 import {drawHeavyTailed} from './call-patterns.js';
@@ -31,7 +31,7 @@
 
 type Sample = {step: number; oldestVersion: number; tokens: number; made: number};
 
-type Engine = {replica: Replica; version: number; target: number; endsAt: number; running: Sample[]};
+type Engine = {replica: WeightReplica; version: number; target: number; endsAt: number; running: Sample[]};
 
 type WeightRun = {idle: number; lag: number; stale: number; thrown: number; rolloutMs: number};
 
@@ -178,7 +178,7 @@
 	#startSamplesOf(step: number, engine: Engine, now: number): void {
 		const draft = {engineVersion: engine.version, finishAt: now + (meanTokens / speed), stepsAhead: step - this.#version};
 		const forecast = {current: this.#version, since: this.#publishedAt};
-		if (this.#versions !== undefined && judgeDispatch({versions: this.#versions}, forecast, draft, now) === 'wait') {
+		if (this.#versions !== undefined && decideDispatch({versions: this.#versions}, forecast, draft, now) === 'wait') {
 			return;
 		}
 
--- a/packages/proof/src/agent-node.ts
+++ b/packages/proof/src/agent-node.ts
@@ -1,7 +1,7 @@
 /**
  * An agent of the proof: the real systems of an agent, with the wire in place of sockets.
  */
-import {EndpointWatch, PoisonRelay} from '@wasabiusher/agent';
+import {EndpointMonitor, PoisonRelay} from '@wasabiusher/agent';
 import type {EndpointStatus, Message, MessageOf} from '@wasabiusher/link';
 import type {Log, Random} from '@wasabiusher/shared';
 import {
@@ -35,7 +35,7 @@
 	/** Versions of the configuration as they came into force here. */
 	readonly adopted: number[] = [];
 	readonly #settings: AgentNodeSettings;
-	readonly #watch: EndpointWatch;
+	readonly #watch: EndpointMonitor;
 	readonly #poison: PoisonRelay;
 	readonly #entries = new Set<string>();
 	readonly #timers: NodeJS.Timeout[];
@@ -63,9 +63,9 @@
 				this.#poison.recordFinished(fingerprint);
 			},
 		});
-		this.#watch = new EndpointWatch(endpoint, {
+		this.#watch = new EndpointMonitor(endpoint, {
 			onReport: report => {
-				this.executor.reportHeld(report.running + report.waiting);
+				this.executor.updateReportedRuns(report.running + report.waiting);
 			},
 			onCrash: incarnation => {
 				this.#poison.recordCrash(incarnation, this.executor.crash());
--- a/packages/proof/src/operators.ts
+++ b/packages/proof/src/operators.ts
@@ -79,7 +79,7 @@
 			const accepted = await entry.history.append({configuration: createConfiguration(author), author, acceptedAt: Date.now()});
 			attempt.told = 'accepted';
 			attempt.version = accepted.version;
-			entry.send(entry.adopter.offer(accepted));
+			entry.send(entry.adopter.adoptChange(accepted));
 		} catch (error) {
 			attempt.told = error instanceof RecordError ? error.code : 'unknown';
 		}
--- a/packages/record/__tests__/lease-holder.spec.ts
+++ b/packages/record/__tests__/lease-holder.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import fc from 'fast-check';
 import {createSilentLog, Random} from '@wasabiusher/shared';
-import {LeaseHolder, TakeOverPace, type LeaseSettings} from '../src/index.js';
+import {LeaseHolder, TakeoverRateLimit, type LeaseSettings} from '../src/index.js';
 import {Faults, FaultyTables, type Fault} from './faulty-storage.js';
 
 const termMs = 6000;
@@ -154,14 +154,14 @@
 	});
 
 	it('limits the takeover rate when many holders crash at once', async () => {
-		const pace = new TakeOverPace(2);
+		const pace = new TakeoverRateLimit(2);
 		const leases = Array.from({length: 40}, (_, index) => index);
 		const dead = leases.map(index => new LeaseHolder({
 			tables, shard: `shard/${index}`, holder: 'dead', random: new Random(index), log: createSilentLog(), termMs,
 		}));
 		await Promise.all(dead.map(async holder => holder.attempt()));
 		const successors = leases.map(index => new LeaseHolder({
-			tables, shard: `shard/${index}`, holder: 'heir', random: new Random(index), log: createSilentLog(), termMs, pace,
+			tables, shard: `shard/${index}`, holder: 'heir', random: new Random(index), log: createSilentLog(), termMs, takeoverLimit: pace,
 		}));
 		for (const successor of successors) {
 			successor.start();
--- a/packages/record/__tests__/table-follower.spec.ts
+++ b/packages/record/__tests__/table-follower.spec.ts
@@ -148,7 +148,7 @@
 	it('calls a few times a second for rows that change continuously, and misses no change', async () => {
 		const seen: string[] = [];
 		const gathering = new TableFollower({
-			store: view, table: 't', parts: [''], log: createSilentLog(), waitMs: 1000, gatherMs: 150, apply({value}) {
+			store: view, table: 't', parts: [''], log: createSilentLog(), waitMs: 1000, batchingMs: 150, apply({value}) {
 				seen.push(Buffer.from(value ?? []).toString());
 			},
 		});
--- a/packages/record/src/claim-log.ts
+++ b/packages/record/src/claim-log.ts
@@ -117,7 +117,7 @@
 	}
 
 	/** Records that the call may have run and that its answer is unknown. Throws `RecordError`. */
-	async doubt(key: string): Promise<void> {
+	async markDoubtful(key: string): Promise<void> {
 		await this.#update(key, {state: 'doubtful'});
 	}
 
--- a/packages/record/src/lease-holder.ts
+++ b/packages/record/src/lease-holder.ts
@@ -19,7 +19,7 @@
 	decodeLease, leaseTable, type Lease, type LeaseOwner,
 } from './lease.js';
 import {writeSettled} from './settled-write.js';
-import {TakeOverPace} from './takeover-rate-limit.js';
+import {TakeoverRateLimit} from './takeover-rate-limit.js';
 
 /**
  * Term of a lease, in milliseconds. A renewal is sent after a third of it (2 s) and the store's client times out
@@ -60,7 +60,7 @@
 	 */
 	isOnlyOnHost?: boolean;
 	/** Shared by all leases of a process. */
-	pace?: TakeOverPace;
+	takeoverLimit?: TakeoverRateLimit;
 	/** Called when the lease was acquired or lost; effects must still check `holds()`. */
 	onChange?(isHeld: boolean): void;
 };
@@ -69,7 +69,7 @@
 export class LeaseHolder {
 	readonly #settings: LeaseSettings;
 	readonly #termMs: number;
-	readonly #takeoverLimit: TakeOverPace;
+	readonly #takeoverLimit: TakeoverRateLimit;
 	readonly #failures: RepeatedFailures;
 	readonly #incarnation = randomUUID();
 	#row: StoredRow | undefined;
@@ -92,7 +92,7 @@
 	constructor(settings: LeaseSettings) {
 		this.#settings = settings;
 		this.#termMs = settings.termMs ?? defaultTermMs;
-		this.#takeoverLimit = settings.pace ?? new TakeOverPace();
+		this.#takeoverLimit = settings.takeoverLimit ?? new TakeoverRateLimit();
 		this.#failures = new RepeatedFailures({log: settings.log, event: 'lease_store_unreachable', overEvent: 'lease_store_reached'});
 	}
 
--- a/packages/record/src/row-faults.ts
+++ b/packages/record/src/row-faults.ts
@@ -36,7 +36,7 @@
 	}
 
 	/** Records that a version of a row is invalid. */
-	note({table, part, key, version}: NamedRow, error: unknown): void {
+	record({table, part, key, version}: NamedRow, error: unknown): void {
 		const name = `${part}/${key}`;
 		if (this.#loggedVersions.get(name) === version) {
 			return;
--- a/packages/record/src/table-follower.ts
+++ b/packages/record/src/table-follower.ts
@@ -49,7 +49,7 @@
 	 * Minimum time from received changes until the next call, in milliseconds; 0 by default. Rows that are written continuously, as
 	 * registrations are, would otherwise cause one call per row on each host: 22 calls a second with 27 endpoints.
 	 */
-	gatherMs?: number;
+	batchingMs?: number;
 	/** Returns a random number in [0, 1), to read the table again at another time than other hosts; without it the table is read at once. */
 	chance?(): number;
 	/** Called for each existing, changed or removed row, in the order of the changes. A row for which it throws is logged and skipped. */
@@ -216,7 +216,7 @@
 	}
 
 	async #follow(): Promise<void> {
-		const {store, table, waitMs = defaultWaitMs, gatherMs = 0} = this.#settings;
+		const {store, table, waitMs = defaultWaitMs, batchingMs = 0} = this.#settings;
 		// After a failure the call must return at once, whether there are changes or not.
 		const page = await this.#raceAbandon(store.follow(table, this.#version, this.#isDown ? 0 : waitMs));
 		for (const change of page.changes) {
@@ -224,8 +224,8 @@
 		}
 
 		this.#version = Math.max(this.#version, page.version);
-		if (page.changes.length > 0 && gatherMs > 0) {
-			await this.#wait(gatherMs);
+		if (page.changes.length > 0 && batchingMs > 0) {
+			await this.#wait(batchingMs);
 		}
 	}
 
@@ -298,7 +298,7 @@
 			this.#settings.apply(change);
 		} catch (error) {
 			// An invalid row of one writer must not block the rows of others.
-			this.#faults.note(change, error);
+			this.#faults.record(change, error);
 		}
 	}
 }
--- a/packages/record/src/takeover-rate-limit.ts
+++ b/packages/record/src/takeover-rate-limit.ts
@@ -10,7 +10,7 @@
 const defaultPerSecond = 2;
 
 /** Token bucket with the capacity of one second. */
-export class TakeOverPace {
+export class TakeoverRateLimit {
 	readonly #perSecond: number;
 	#tokens: number;
 	#refilledAt = performance.now();
--- a/packages/slots/__tests__/divide-slots.spec.ts
+++ b/packages/slots/__tests__/divide-slots.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {chooseHome, divideSlots, listHomeCandidates} from '../src/index.js';
+import {chooseCoordinator, divideSlots, listCoordinatorCandidates} from '../src/index.js';
 import {createWant} from './fixtures.js';
 
 describe('divideSlots', () => {
@@ -44,7 +44,7 @@
 		host: `h${i}`, address: `10.0.0.${i}:1`, dataCentre: i < 4 ? 'd' : 'e', cores: i === 0 ? 1.2 : 0.3, isResting: false, lateMs: 0, silentMs: 100,
 	}));
 	const endpoints = Array.from({length: 2000}, (_, i) => `i${i}`);
-	const choose = (candidates: typeof hosts, dataCentre = 'd') => endpoints.map(endpoint => chooseHome(endpoint, dataCentre, candidates)?.host);
+	const choose = (candidates: typeof hosts, dataCentre = 'd') => endpoints.map(endpoint => chooseCoordinator(endpoint, dataCentre, candidates)?.host);
 
 	it('prefers the data centre of the endpoint, gives more endpoints to hosts with more cores, and moves only those of a lost host', () => {
 		const all = choose(hosts);
@@ -59,7 +59,7 @@
 	it('excludes hosts that lag, are silent while they work, or have no address', () => {
 		const [first] = hosts;
 		const candidates = [first!, {...first!, lateMs: 60}, {...first!, silentMs: 2000}, {...first!, address: ''}, {...first!, silentMs: 60_000, isResting: true}];
-		expect(listHomeCandidates(candidates)).to.deep.equal([candidates[0], candidates[4]]);
-		expect(chooseHome('i', 'd', [])).to.equal(undefined);
+		expect(listCoordinatorCandidates(candidates)).to.deep.equal([candidates[0], candidates[4]]);
+		expect(chooseCoordinator('i', 'd', [])).to.equal(undefined);
 	});
 });
--- a/packages/slots/__tests__/fair-priority-queue.spec.ts
+++ b/packages/slots/__tests__/fair-priority-queue.spec.ts
@@ -1,22 +1,22 @@
 import {expect} from 'chai';
-import {WaitOrder, type SchedulingAttributes} from '../src/index.js';
+import {FairPriorityQueue, type SchedulingAttributes} from '../src/index.js';
 
 const never = () => false;
 
 function createAttributes(changes: Partial<SchedulingAttributes> = {}): SchedulingAttributes {
 	return {
-		urgency: 0, turn: 'a', weight: 1, lane: 'l', beginBy: 1000, rank: 0, cost: 1, ...changes,
+		urgency: 0, turn: 'a', weight: 1, eligibilityKey: 'l', beginBy: 1000, rank: 0, cost: 1, ...changes,
 	};
 }
 
-function addMany(queue: WaitOrder<string>, count: number, changes: Partial<SchedulingAttributes>, name = changes.turn ?? 'a'): void {
+function addMany(queue: FairPriorityQueue<string>, count: number, changes: Partial<SchedulingAttributes>, name = changes.turn ?? 'a'): void {
 	for (let i = 0; i < count; i++) {
 		queue.add(createAttributes(changes), name);
 	}
 }
 
 /** Serves the next entries and returns their names. */
-function serve(queue: WaitOrder<string>, count: number, now = 0, isBlocked: (eligibilityKey: string) => boolean = never): string[] {
+function serve(queue: FairPriorityQueue<string>, count: number, now = 0, isBlocked: (eligibilityKey: string) => boolean = never): string[] {
 	const names: string[] = [];
 	for (let i = 0; i < count; i++) {
 		const entry = queue.findFirst(now, isBlocked);
@@ -34,10 +34,10 @@
 }
 
 describe('FairPriorityQueue', () => {
-	let queue: WaitOrder<string>;
+	let queue: FairPriorityQueue<string>;
 
 	beforeEach(() => {
-		queue = new WaitOrder();
+		queue = new FairPriorityQueue();
 	});
 
 	it('serves the more urgent class first, and the less urgent one at a quarter of the overall rate', () => {
@@ -82,14 +82,14 @@
 	});
 
 	it('serves two steps of one trainer in order of their due times, across eligibility keys', () => {
-		addMany(queue, 5, {beginBy: 2000, lane: 'newer'}, 'second');
-		addMany(queue, 5, {beginBy: 1000, lane: 'older'}, 'first');
+		addMany(queue, 5, {beginBy: 2000, eligibilityKey: 'newer'}, 'second');
+		addMany(queue, 5, {beginBy: 1000, eligibilityKey: 'older'}, 'first');
 		expect(serve(queue, 10)).to.deep.equal([...Array.from({length: 5}, () => 'first'), ...Array.from({length: 5}, () => 'second')]);
 	});
 
 	it('does not let a late step delay one that can be on time, and still serves it', () => {
-		addMany(queue, 8, {beginBy: 1000, lane: 'older'}, 'late');
-		addMany(queue, 8, {beginBy: 9000, lane: 'newer'}, 'timely');
+		addMany(queue, 8, {beginBy: 1000, eligibilityKey: 'older'}, 'late');
+		addMany(queue, 8, {beginBy: 9000, eligibilityKey: 'newer'}, 'timely');
 		const served = serve(queue, 8, 2000);
 		expect(served.slice(0, 3)).to.deep.equal(['timely', 'timely', 'timely']);
 		expect(count(served, 'late')).to.equal(2);
@@ -105,8 +105,8 @@
 	});
 
 	it('skips blocked eligibility keys', () => {
-		addMany(queue, 2, {lane: 'blocked', urgency: 0}, 'blocked');
-		addMany(queue, 2, {lane: 'open', urgency: 3}, 'open');
+		addMany(queue, 2, {eligibilityKey: 'blocked', urgency: 0}, 'blocked');
+		addMany(queue, 2, {eligibilityKey: 'open', urgency: 3}, 'open');
 		expect(serve(queue, 4, 0, lane => lane === 'blocked')).to.deep.equal(['open', 'open']);
 		expect(queue.size).to.equal(2);
 	});
--- a/packages/slots/__tests__/fixtures.ts
+++ b/packages/slots/__tests__/fixtures.ts
@@ -1,6 +1,6 @@
 /** Hosts with one coordinator and message latency between them. */
 import {
-	RationDesk, RationHome, type RationFor, type SlotDemand, type Want,
+	AllocationClient, AllocationCoordinator, type HostAllocation, type SlotDemand, type QueuedWork,
 } from '../src/index.js';
 
 /** Latency of a message between two hosts, in milliseconds. */
@@ -18,24 +18,24 @@
 /** Creates a coordinator of endpoints with six slots and a client for each host. */
 export function createHosts(names: readonly string[]) {
 	const switches: LinkSwitches = {isLinked: true, passesDemands: true, passesRations: true};
-	const clients = new Map<string, RationDesk>();
-	const send = (allocations: readonly RationFor[]) => {
+	const clients = new Map<string, AllocationClient>();
+	const send = (allocations: readonly HostAllocation[]) => {
 		for (const {host, ration} of allocations) {
 			setTimeout(() => {
 				if (switches.passesRations) {
-					clients.get(host)?.take(ration);
+					clients.get(host)?.handleAllocation(ration);
 				}
 			}, messageDelayMs);
 		}
 	};
 
-	const coordinator = new RationHome(send);
+	const coordinator = new AllocationCoordinator(send);
 	const deliver = (host: string, demand: SlotDemand) => {
-		coordinator.take(host, demand, 6);
+		coordinator.handleDemand(host, demand, 6);
 	};
 
 	for (const name of names) {
-		clients.set(name, new RationDesk({
+		clients.set(name, new AllocationClient({
 			send(demand) {
 				setTimeout(() => {
 					if (switches.passesDemands) {
@@ -44,15 +44,15 @@
 				}, messageDelayMs);
 				return switches.isLinked;
 			},
-			isUsable: () => switches.isLinked,
-			findFreePart: () => 1,
+			isCoordinatorAvailable: () => switches.isLinked,
+			findDefaultLimit: () => 1,
 		}));
 	}
 
 	return {coordinator, clients, switches};
 }
 
-export function createWant(count: number, changes: Partial<Want> = {}): Want {
+export function createWant(count: number, changes: Partial<QueuedWork> = {}): QueuedWork {
 	return {
 		urgency: 1, dueInMs: 1000, count, ...changes,
 	};
--- a/packages/slots/__tests__/host-queue.spec.ts
+++ b/packages/slots/__tests__/host-queue.spec.ts
@@ -1,6 +1,6 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
-import {HostLine, type SlotAnswer, type Waiter} from '../src/index.js';
+import {HostQueue, type SlotAnswer, type Waiter} from '../src/index.js';
 
 /** Need for a slot of an endpoint in a pool. */
 type Need = {pool: string; lane: string};
@@ -11,7 +11,7 @@
 	let takes: number;
 	let blocked: string;
 	let notify: () => void;
-	let queue: HostLine<Need, string>;
+	let queue: HostQueue<Need, string>;
 	let ids: number;
 
 	beforeEach(() => {
@@ -27,9 +27,9 @@
 			}
 		};
 
-		queue = new HostLine({
-			namePool: ({pool}) => pool,
-			nameLane: ({lane}) => lane,
+		queue = new HostQueue({
+			getPoolName: ({pool}) => pool,
+			getEligibilityKey: ({lane}) => lane,
 			adapt: ({need}) => need,
 			take({lane}) {
 				takes += 1;
@@ -40,7 +40,7 @@
 				free -= 1;
 				return 'e';
 			},
-			planReturn: () => 40,
+			getRetryDelayMs: () => 40,
 			onChange(listener) {
 				listeners.add(listener);
 				return () => {
@@ -160,7 +160,7 @@
 		await clock.tickAsync(10);
 		wait(answers, 'b', {kind: 'text'});
 		await clock.tickAsync(5);
-		expect(queue.listTurns()).to.deep.equal([{
+		expect(queue.listFlows()).to.deep.equal([{
 			turn: 'a', urgency: 0, waiting: 2, oldestMs: 15,
 		}]);
 		await setFree(2);
--- a/packages/slots/__tests__/slot-allocation.spec.ts
+++ b/packages/slots/__tests__/slot-allocation.spec.ts
@@ -1,6 +1,6 @@
 import {install, type Clock} from '@sinonjs/fake-timers';
 import {expect} from 'chai';
-import {RationDesk, RationHome} from '../src/index.js';
+import {AllocationClient, AllocationCoordinator} from '../src/index.js';
 import {createHosts, createWant, messageDelayMs} from './fixtures.js';
 
 const names = ['a', 'b', 'c', 'd', 'e', 'f'];
@@ -22,7 +22,7 @@
 		readonly started: string[] = [];
 		refused = 0;
 		idleSlotMs = 0;
-		readonly #clients: ReadonlyMap<string, RationDesk> | undefined;
+		readonly #clients: ReadonlyMap<string, AllocationClient> | undefined;
 		readonly #urgentHost: string;
 		readonly #waiting = new Map(names.map(name => [name, 6]));
 		readonly #filled = new Map(names.map(name => [name, 0]));
@@ -74,7 +74,7 @@
 
 		#report(name: string): void {
 			const count = this.#waiting.get(name)!;
-			this.#clients?.get(name)!.want({endpoint, filled: this.#filled.get(name)!, wants: count > 0 ? [createWant(count, {urgency: name === this.#urgentHost ? 0 : 1})] : []});
+			this.#clients?.get(name)!.updateDemand({endpoint, filled: this.#filled.get(name)!, wants: count > 0 ? [createWant(count, {urgency: name === this.#urgentHost ? 0 : 1})] : []});
 		}
 	}
 
@@ -95,10 +95,10 @@
 
 	it('sends an unchanged demand again only at the renewal interval', async () => {
 		const {clients: [client], coordinator} = takeFirst(createHosts(names));
-		client.want({endpoint, filled: 2, wants: []});
+		client.updateDemand({endpoint, filled: 2, wants: []});
 		await clock.tickAsync(20);
 		for (let i = 0; i < 10; i += 1) {
-			client.want({endpoint, filled: 2, wants: []});
+			client.updateDemand({endpoint, filled: 2, wants: []});
 			client.tick();
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(20);
@@ -113,7 +113,7 @@
 
 	it('sets no limit while no coordinator is linked, also if the link was just lost', async () => {
 		const {clients: [client], switches} = takeFirst(createHosts(names));
-		client.want({endpoint, filled: 1, wants: [createWant(2)]});
+		client.updateDemand({endpoint, filled: 1, wants: [createWant(2)]});
 		await clock.tickAsync(10);
 		expect(client.findLimit(endpoint)).to.equal(3);
 		expect(client.findLimit(other)).to.equal(1);
@@ -127,7 +127,7 @@
 	async function findLimitsAroundCut(cut: 'passesDemands' | 'passesRations'): Promise<Array<number | undefined>> {
 		const {clients: [client], switches} = takeFirst(createHosts(names));
 		switches[cut] = false;
-		client.want({endpoint, filled: 1, wants: [createWant(2)]});
+		client.updateDemand({endpoint, filled: 1, wants: [createWant(2)]});
 		await clock.tickAsync(10);
 		const limits = [client.findLimit(endpoint)];
 		await clock.tickAsync(100);
@@ -135,7 +135,7 @@
 		limits.push(client.findLimit(endpoint));
 		switches[cut] = true;
 		await clock.tickAsync(900);
-		client.want({endpoint, filled: 1, wants: [createWant(2)]});
+		client.updateDemand({endpoint, filled: 1, wants: [createWant(2)]});
 		await clock.tickAsync(110);
 		client.tick();
 		await clock.tickAsync(10);
@@ -150,16 +150,16 @@
 
 	it('ignores an allocation that answers an older demand, and a demand that arrives after a newer one', async () => {
 		const {clients: [client], coordinator} = takeFirst(createHosts(names));
-		client.want({endpoint, filled: 1, wants: [createWant(1)]});
+		client.updateDemand({endpoint, filled: 1, wants: [createWant(1)]});
 		await clock.tickAsync(10);
-		client.take({
+		client.handleAllocation({
 			endpoint, slots: 6, termMs: 1000, sequence: 1,
 		});
 		expect(client.findLimit(endpoint)).to.equal(2);
 		const late = {
 			endpoint, filled: 0, wants: [], sequence: 1,
 		};
-		coordinator.take('a', late, 6);
+		coordinator.handleDemand('a', late, 6);
 		expect([client.counts.lateRations, coordinator.counts.lateDemands]).to.deep.equal([1, 1]);
 	});
 
@@ -167,7 +167,7 @@
 		const slotsByHost = new Map<string, number>();
 		const coordinator = createCoordinator(slotsByHost);
 		const take = async (host: string, sequence: number) => {
-			coordinator.take(host, {
+			coordinator.handleDemand(host, {
 				endpoint, filled: 0, wants: [createWant(6)], sequence,
 			}, 6);
 			await clock.tickAsync(5);
@@ -186,7 +186,7 @@
 
 	it('subtracts the load that an endpoint reports for hosts without an allocation', async () => {
 		const slotsByHost = new Map<string, number>();
-		createCoordinator(slotsByHost).take('a', {
+		createCoordinator(slotsByHost).handleDemand('a', {
 			endpoint, filled: 1, wants: [createWant(6)], others: 3, sequence: 1,
 		}, 6);
 		await clock.tickAsync(5);
@@ -195,23 +195,23 @@
 
 	it('lets two coordinators allocate the slots of one endpoint for a term at most', async () => {
 		const limits: number[] = [];
-		const coordinators = [0, 1].map(() => new RationHome(allocations => {
+		const coordinators = [0, 1].map(() => new AllocationCoordinator(allocations => {
 			for (const {host, ration} of allocations) {
-				clients[Number(host)]!.take(ration);
+				clients[Number(host)]!.handleAllocation(ration);
 			}
 		}));
 		const current: {coordinator?: number} = {};
-		const clients: RationDesk[] = [0, 1].map(i => new RationDesk({
+		const clients: AllocationClient[] = [0, 1].map(i => new AllocationClient({
 			send(demand) {
-				coordinators[current.coordinator ?? i]!.take(String(i), demand, 6);
+				coordinators[current.coordinator ?? i]!.handleDemand(String(i), demand, 6);
 				return true;
 			},
-			isUsable: () => true,
-			findFreePart: () => 1,
+			isCoordinatorAvailable: () => true,
+			findDefaultLimit: () => 1,
 		}));
 		const tick = async () => {
 			for (const client of clients) {
-				client.want({endpoint, filled: 0, wants: [createWant(6)]});
+				client.updateDemand({endpoint, filled: 0, wants: [createWant(6)]});
 				client.tick();
 			}
 
@@ -231,8 +231,8 @@
 	});
 });
 
-function createCoordinator(slotsByHost: Map<string, number>): RationHome {
-	return new RationHome(allocations => {
+function createCoordinator(slotsByHost: Map<string, number>): AllocationCoordinator {
+	return new AllocationCoordinator(allocations => {
 		for (const {host, ration} of allocations) {
 			slotsByHost.set(host, ration.slots);
 		}
--- a/packages/slots/src/allocation-client.ts
+++ b/packages/slots/src/allocation-client.ts
@@ -6,7 +6,7 @@
  * the rest to other hosts. A coordinator that doesn't answer, or isn't linked, is not waited for: the host then relies on its own observations.
  */
 import type {
-	RationSource, SlotDemand, SlotAllocation, Want,
+	AllocationSource, SlotDemand, SlotAllocation, QueuedWork,
 } from './slot-allocation.js';
 
 /** Time limit for an answer, in milliseconds: many times the time to connect between hosts of a data centre. */
@@ -49,13 +49,13 @@
 	/** Sends a demand to the endpoint's coordinator; returns false if that is not linked, and opens a link then. */
 	send(demand: SlotDemand): boolean;
 	/** Whether the endpoint's coordinator is linked or a link may be opened shortly. */
-	isUsable(endpoint: string): boolean;
+	isCoordinatorAvailable(endpoint: string): boolean;
 	/** Slots of an endpoint that a host may fill without an allocation. */
-	findFreePart(endpoint: string): number;
+	findDefaultLimit(endpoint: string): number;
 };
 
 /** Keeps the slots of each endpoint that this host may fill. */
-export class RationDesk implements RationSource {
+export class AllocationClient implements AllocationSource {
 	/** Demands sent, allocations accepted, late allocations ignored, and demands without an answer. */
 	readonly counts = {
 		demands: 0, rations: 0, lateRations: 0, unanswered: 0,
@@ -91,10 +91,10 @@
 			return entry.limit;
 		}
 
-		return this.#settings.isUsable(endpoint) ? this.#settings.findFreePart(endpoint) : undefined;
+		return this.#settings.isCoordinatorAvailable(endpoint) ? this.#settings.findDefaultLimit(endpoint) : undefined;
 	}
 
-	want(demand: CurrentDemand): void {
+	updateDemand(demand: CurrentDemand): void {
 		const entry = this.#entries.get(demand.endpoint) ?? this.#addEntry(demand);
 		if (demand.filled < entry.current.filled) {
 			// A released slot goes to the most urgent work of all hosts.
@@ -118,7 +118,7 @@
 	}
 
 	/** Accepts an allocation; one that doesn't answer the last demand is late and ignored. */
-	take(allocation: SlotAllocation): void {
+	handleAllocation(allocation: SlotAllocation): void {
 		const entry = this.#entries.get(allocation.endpoint);
 		if (allocation.sequence !== entry?.sequence) {
 			this.counts.lateRations += 1;
@@ -216,10 +216,10 @@
 	return hasReleasedSlots || wantsMore || wantsLess || (isUsed && now - sentAt >= renewalIntervalMs);
 }
 
-function countWants(wants: readonly Want[]): number {
+function countWants(wants: readonly QueuedWork[]): number {
 	return wants.reduce((sum, {count}) => sum + count, 0);
 }
 
-function isMoreUrgent([first]: readonly Want[], [previous]: readonly Want[]): boolean {
+function isMoreUrgent([first]: readonly QueuedWork[], [previous]: readonly QueuedWork[]): boolean {
 	return first !== undefined && (previous === undefined || first.urgency < previous.urgency);
 }
--- a/packages/slots/src/allocation-coordinator.ts
+++ b/packages/slots/src/allocation-coordinator.ts
@@ -6,7 +6,7 @@
  * messages are in flight.
  */
 import {divideSlots, type SlotClaim} from './divide-slots.js';
-import type {SlotDemand, SlotAllocation, Want} from './slot-allocation.js';
+import type {SlotDemand, SlotAllocation, QueuedWork} from './slot-allocation.js';
 
 /** Validity of an allocation from its arrival on, in milliseconds: long compared with a message, short compared with the loss of a coordinator. */
 export const allocationTermMs = 1000;
@@ -24,7 +24,7 @@
 type Holder = {
 	sequence: number;
 	filled: number;
-	wants: readonly Want[];
+	wants: readonly QueuedWork[];
 	/** Slots that it may fill, including those that it fills already. */
 	allocated: number;
 	expiresAt: number;
@@ -46,17 +46,17 @@
 };
 
 /** An allocation and the host that it is for. */
-export type RationFor = {host: string; ration: SlotAllocation};
+export type HostAllocation = {host: string; ration: SlotAllocation};
 
 /** Allocates the slots of the endpoints that this host coordinates. */
-export class RationHome {
+export class AllocationCoordinator {
 	/** Demands accepted, late demands ignored, and allocations sent. */
 	readonly counts = {demands: 0, lateDemands: 0, rations: 0};
 	readonly #endpoints = new Map<string, EndpointAllocations>();
-	readonly #send: (allocations: readonly RationFor[]) => void;
+	readonly #send: (allocations: readonly HostAllocation[]) => void;
 
 	/** @param send - sends allocations to their hosts */
-	constructor(send: (allocations: readonly RationFor[]) => void) {
+	constructor(send: (allocations: readonly HostAllocation[]) => void) {
 		this.#send = send;
 	}
 
@@ -70,7 +70,7 @@
 	 *
 	 * @param slots - total slots of the endpoint
 	 */
-	take(host: string, demand: SlotDemand, slots: number): void {
+	handleDemand(host: string, demand: SlotDemand, slots: number): void {
 		const allocations = this.#getOrAdd(demand.endpoint, slots);
 		const known = allocations.holders.get(host);
 		if (known && demand.sequence <= known.sequence) {
@@ -175,7 +175,7 @@
 }
 
 /** Returns the wants without their first `count` requests. */
-function skipWants(wants: readonly Want[], count: number): Want[] {
+function skipWants(wants: readonly QueuedWork[], count: number): QueuedWork[] {
 	let toSkip = count;
 	return wants.flatMap(want => {
 		const skipped = Math.min(toSkip, want.count);
--- a/packages/slots/src/class-queue.ts
+++ b/packages/slots/src/class-queue.ts
@@ -4,7 +4,7 @@
  * Load pattern: one customer sends half of all requests, the others a hundredth each. In order of arrival all wait behind it; with equal shares its requests
  * would be served a fortieth as often as the others'. Each flow gets a share by weight, and in addition a share by its demand.
  */
-import {IndexedHeap, TurnClock, type HeapItem} from '@wasabiusher/decisions';
+import {IndexedHeap, FlowClock, type HeapItem} from '@wasabiusher/decisions';
 import {DemandShares} from './demand-shares.js';
 import {FlowQueue, type QueueEntry, type SchedulingAttributes} from './flow-queue.js';
 
@@ -30,7 +30,7 @@
 	readonly #flows = new Map<string, Flow<Job>>();
 	/** By eligibility key. */
 	readonly #heaps = new Map<string, IndexedHeap<EligibleEntries<Job>>>();
-	readonly #clock = new TurnClock();
+	readonly #clock = new FlowClock();
 	readonly #demandShares = new DemandShares();
 	#totalWeight = 0;
 	#order = 0;
@@ -56,7 +56,7 @@
 	}
 
 	add(entry: QueueEntry<Job>): void {
-		const {turn: name, lane: eligibilityKey, cost} = entry.attributes;
+		const {turn: name, eligibilityKey, cost} = entry.attributes;
 		this.#demandShares.record(name, cost);
 		const flow = this.#flows.get(name) ?? this.#addFlow(entry.attributes);
 		const queue = flow.queues.get(eligibilityKey) ?? this.#addQueue(flow, eligibilityKey);
@@ -66,7 +66,7 @@
 
 	/** Removes an entry; its flow is charged by `charge` alone. */
 	remove(entry: QueueEntry<Job>): void {
-		const {turn: name, lane: eligibilityKey} = entry.attributes;
+		const {turn: name, eligibilityKey} = entry.attributes;
 		const flow = this.#flows.get(name)!;
 		const queue = flow.queues.get(eligibilityKey)!;
 		queue.entries.remove(entry);
--- a/packages/slots/src/coordinator-choice.ts
+++ b/packages/slots/src/coordinator-choice.ts
@@ -8,7 +8,7 @@
 import {rankCandidate} from '@wasabiusher/shared';
 
 /** A host that may coordinate endpoints. */
-export type HomeCandidate = {
+export type CoordinatorCandidate = {
 	host: string;
 	/** `ip:port`; empty if other hosts can't reach it. */
 	address: string;
@@ -33,7 +33,7 @@
 const defaultCores = 0.5;
 
 /** Returns the hosts that may currently coordinate endpoints. */
-export function listHomeCandidates(hosts: readonly HomeCandidate[]): HomeCandidate[] {
+export function listCoordinatorCandidates(hosts: readonly CoordinatorCandidate[]): CoordinatorCandidate[] {
 	return hosts.filter(({address, isResting, lateMs, silentMs}) => address !== '' && lateMs < maxEventLoopLagMs && (isResting || silentMs < maxSilenceMs));
 }
 
@@ -43,9 +43,9 @@
  *
  * @returns undefined without candidates
  */
-export function chooseHome(endpoint: string, dataCentre: string, candidates: readonly HomeCandidate[]): HomeCandidate | undefined {
+export function chooseCoordinator(endpoint: string, dataCentre: string, candidates: readonly CoordinatorCandidate[]): CoordinatorCandidate | undefined {
 	const near = candidates.filter(candidate => candidate.dataCentre === dataCentre);
-	let best: HomeCandidate | undefined;
+	let best: CoordinatorCandidate | undefined;
 	let bestScore = Number.NEGATIVE_INFINITY;
 	for (const candidate of near.length > 0 ? near : candidates) {
 		const chance = (rankCandidate(endpoint, candidate.host) + 1) / ((2 ** 32) + 1);
--- a/packages/slots/src/divide-slots.ts
+++ b/packages/slots/src/divide-slots.ts
@@ -4,13 +4,13 @@
  * Load pattern: the steps of several trainers begin within tenths of a second, and a dozen hosts want all slots of the same endpoints at once. The most
  * urgent work goes first, by class and then by the time left; but a host whose work is never the most urgent must not starve.
  */
-import type {Want} from './slot-allocation.js';
+import type {QueuedWork} from './slot-allocation.js';
 
 /** What one host wants beyond the slots that it was allocated. */
 export type SlotClaim = {
 	host: string;
 	/** Most urgent first. */
-	wants: readonly Want[];
+	wants: readonly QueuedWork[];
 	/** Time since the host last got a slot or began to wait for one, in milliseconds. */
 	waitedMs: number;
 };
--- a/packages/slots/src/fair-priority-queue.ts
+++ b/packages/slots/src/fair-priority-queue.ts
@@ -20,7 +20,7 @@
 type UrgencyClass<Job> = {urgency: number; queue: ClassQueue<Job>; credit: number};
 
 /** Queue with urgency classes and fair queueing inside each class. */
-export class WaitOrder<Job> {
+export class FairPriorityQueue<Job> {
 	/** Most urgent first. */
 	readonly #classes: Array<UrgencyClass<Job>> = [];
 	readonly #demandShares = new DemandShares();
--- a/packages/slots/src/flow-queue.ts
+++ b/packages/slots/src/flow-queue.ts
@@ -14,7 +14,7 @@
 	turn: string;
 	weight: number;
 	/** Eligibility key: entries with the same key have the same eligible endpoints. */
-	lane: string;
+	eligibilityKey: string;
 	/** Latest start to finish on time, on the monotonic clock. */
 	beginBy: number;
 	/** Orders entries with the same latest start; the lowest first. */
--- a/packages/slots/src/host-queue.ts
+++ b/packages/slots/src/host-queue.ts
@@ -8,7 +8,7 @@
 import type {AnswerCount, SlotQueue, FlowCount} from './slot-queue.js';
 import {WaitEstimator} from './wait-estimator.js';
 import {AnswerCounts} from './answer-counts.js';
-import {WaitOrder, type SchedulingAttributes} from './fair-priority-queue.js';
+import {FairPriorityQueue, type SchedulingAttributes} from './fair-priority-queue.js';
 import type {SlotAnswer, Waiter} from './waiter.js';
 
 /** Interval at which blocked keys are tried again without a change, in milliseconds: pauses of endpoints end without a notification. */
@@ -19,15 +19,15 @@
 
 export type HostQueueSettings<Need, Endpoint> = {
 	/** Returns the name of the pool of endpoints that needs compete for, such as a service. */
-	namePool(need: Need): string;
+	getPoolName(need: Need): string;
 	/** Returns the eligibility key of a need: the same for needs with the same eligible endpoints. */
-	nameLane(need: Need): string;
+	getEligibilityKey(need: Need): string;
 	/** Returns the need of a waiter that is expected to wait for `waitMs`, in milliseconds. */
 	adapt(waiter: Waiter<Need>, waitMs: number): Need;
 	/** Takes a slot of an eligible endpoint; undefined if none is free. */
 	take(need: Need): Endpoint | undefined;
 	/** Returns the delay after which a refused waiter should retry, in milliseconds. */
-	planReturn(need: Need): number;
+	getRetryDelayMs(need: Need): number;
 	/** Calls the listener when an endpoint of a pool (of any pool without a name) may have become free or eligible; returns a function that unsubscribes it. */
 	onChange(listener: (pool?: string) => void): () => void;
 };
@@ -43,14 +43,14 @@
 type Arrival<Need> = {waiter: Waiter<Need>; need: Need; eligibilityKey: string; waitMs: number};
 
 type Pool<Need, Endpoint> = {
-	queue: WaitOrder<Job<Need, Endpoint>>;
+	queue: FairPriorityQueue<Job<Need, Endpoint>>;
 	waitEstimator: WaitEstimator;
 	/** Eligibility keys without a free endpoint since the last change. */
 	blockedKeys: Set<string>;
 };
 
 /** The wait queue. */
-export class HostLine<Need, Endpoint> implements SlotQueue<Need, Endpoint> {
+export class HostQueue<Need, Endpoint> implements SlotQueue<Need, Endpoint> {
 	readonly #settings: HostQueueSettings<Need, Endpoint>;
 	readonly #pools = new Map<string, Pool<Need, Endpoint>>();
 	readonly #jobs = new Set<Job<Need, Endpoint>>();
@@ -78,7 +78,7 @@
 		return answer;
 	}
 
-	look(): void {
+	rescan(): void {
 		for (const {blockedKeys} of this.#pools.values()) {
 			blockedKeys.clear();
 		}
@@ -86,7 +86,7 @@
 		this.#dispatch();
 	}
 
-	listTurns(): FlowCount[] {
+	listFlows(): FlowCount[] {
 		const now = performance.now();
 		const flows = new Map<string, FlowCount>();
 		for (const {waiter: {turn, urgency}, queuedAt} of this.#jobs) {
@@ -101,10 +101,10 @@
 	}
 
 	async #wait(waiter: Waiter<Need>, signal: AbortSignal): Promise<SlotAnswer<Endpoint>> {
-		const pool = this.#findPool(this.#settings.namePool(waiter.need));
+		const pool = this.#findPool(this.#settings.getPoolName(waiter.need));
 		const waitMs = pool.waitEstimator.estimateWait(pool.queue.countAhead(waiter), waiter.workMs);
 		const need = this.#settings.adapt(waiter, waitMs);
-		const eligibilityKey = this.#settings.nameLane(need);
+		const eligibilityKey = this.#settings.getEligibilityKey(need);
 		const endpoint = pool.queue.size === 0 && !pool.blockedKeys.has(eligibilityKey) ? this.#settings.take(need) : undefined;
 		return endpoint === undefined
 			? this.#enqueue(pool, {
@@ -152,7 +152,7 @@
 			this.#dispatch();
 			// A waiter that got a slot at once is not refused, however long others wait.
 			if (waiter.isRefusable && waitMs > remainingMs && this.#jobs.has(job)) {
-				withdraw({kind: 'refused', reason: 'too many requests are queued to be served by the deadline', retryAfterMs: this.#settings.planReturn(waiter.need)});
+				withdraw({kind: 'refused', reason: 'too many requests are queued to be served by the deadline', retryAfterMs: this.#settings.getRetryDelayMs(waiter.need)});
 			}
 		});
 	}
@@ -160,7 +160,7 @@
 	/** Subscribes to changes of endpoints; there is no subscription while the queue is empty. */
 	#subscribe(): void {
 		this.#timer ??= setInterval(() => {
-			this.look();
+			this.rescan();
 		}, rescanIntervalMs);
 		this.#unsubscribe ??= this.#settings.onChange(pool => {
 			this.#handleChange(pool);
@@ -226,7 +226,7 @@
 		for (let entry = queue.findFirst(now, isBlocked); entry; entry = queue.findFirst(now, isBlocked)) {
 			const endpoint = this.#settings.take(entry.job.need);
 			if (endpoint === undefined) {
-				blockedKeys.add(entry.attributes.lane);
+				blockedKeys.add(entry.attributes.eligibilityKey);
 				continue;
 			}
 
@@ -237,7 +237,7 @@
 	}
 
 	#findPool(name: string): Pool<Need, Endpoint> {
-		const pool = this.#pools.get(name) ?? {queue: new WaitOrder<Job<Need, Endpoint>>(), waitEstimator: new WaitEstimator(), blockedKeys: new Set<string>()};
+		const pool = this.#pools.get(name) ?? {queue: new FairPriorityQueue<Job<Need, Endpoint>>(), waitEstimator: new WaitEstimator(), blockedKeys: new Set<string>()};
 		this.#pools.set(name, pool);
 		return pool;
 	}
@@ -247,6 +247,6 @@
 	urgency, turn, weight, dueAt, workMs, rank = 0,
 }: Waiter<Need>, eligibilityKey: string): SchedulingAttributes {
 	return {
-		urgency, turn, weight, lane: eligibilityKey, beginBy: dueAt - workMs, rank, cost: workMs || 1,
+		urgency, turn, weight, eligibilityKey, beginBy: dueAt - workMs, rank, cost: workMs || 1,
 	};
 }
--- a/packages/slots/src/recent-refusals.ts
+++ b/packages/slots/src/recent-refusals.ts
@@ -13,19 +13,19 @@
 const retentionMs = 5000;
 
 /** Requests that were refused recently. */
-export class ReturnTurns {
+export class RecentRefusals {
 	/** Time of the refusal by request, on the monotonic clock. */
 	readonly #refusedAt = new Map<string, number>();
 
 	/** Records a refusal; `key` identifies the request across its attempts. */
-	note(key: string): void {
+	record(key: string): void {
 		this.#refusedAt.delete(key);
 		this.#refusedAt.set(key, performance.now());
 		dropOldest(this.#refusedAt, maxRefusals);
 	}
 
 	/** Returns whether a request is the retry of a refused one; true once for each refusal. */
-	take(key: string): boolean {
+	consume(key: string): boolean {
 		const refusedAt = this.#refusedAt.get(key);
 		this.#refusedAt.delete(key);
 		return refusedAt !== undefined && performance.now() - refusedAt < retentionMs;
--- a/packages/slots/src/slot-allocation.ts
+++ b/packages/slots/src/slot-allocation.ts
@@ -4,7 +4,7 @@
  */
 
 /** Requests of one host that wait for one endpoint with the same urgency and due time. */
-export type Want = {
+export type QueuedWork = {
 	/** Urgency class; 0 is served first. */
 	urgency: number;
 	/** Time until they should be finished, in milliseconds; negative once late. */
@@ -18,7 +18,7 @@
 	/** Slots that the host currently fills. */
 	filled: number;
 	/** Work that waits at the host for this endpoint, most urgent first. */
-	wants: readonly Want[];
+	wants: readonly QueuedWork[];
 	/** Requests of other hosts at the endpoint, as it last reported to this host; undefined without a recent report. */
 	others?: number;
 	/** Increases with each demand of this host; an older demand that arrives late is ignored. */
@@ -37,11 +37,11 @@
 };
 
 /** Slot limits of a host as others read them. */
-export type RationSource = {
+export type AllocationSource = {
 	/** Returns how many slots of an endpoint this host may fill; undefined without a limit, so that the host decides by its local knowledge. */
 	findLimit(endpoint: string): number | undefined;
 	/** Updates this host's demand for an endpoint; nothing is sent while the demand is unchanged. */
-	want(demand: Omit<SlotDemand, 'sequence'>): void;
+	updateDemand(demand: Omit<SlotDemand, 'sequence'>): void;
 	/** Calls the listener when an allocation has changed; returns a function that unsubscribes it. */
 	onChange(listener: () => void): () => void;
 };
--- a/packages/slots/src/slot-queue.ts
+++ b/packages/slots/src/slot-queue.ts
@@ -18,6 +18,6 @@
 	/** Waits for a slot. Resolves at once with `refused` if a refusable waiter can't be served by its deadline. Never rejects. */
 	wait(waiter: Waiter<Need>, signal: AbortSignal): Promise<SlotAnswer<Endpoint>>;
 	/** Assigns slots that have become free. */
-	look(): void;
-	listTurns(): FlowCount[];
+	rescan(): void;
+	listFlows(): FlowCount[];
 };
--- a/packages/standins/src/memory-duties.ts
+++ b/packages/standins/src/memory-duties.ts
@@ -22,7 +22,7 @@
 };
 
 /** A call that the platform has received. `at` is in milliseconds since the epoch. */
-export type PerformedReport = DutyRight & {window: number; counts: Record<string, number>; at: number};
+export type ReceivedReport = DutyRight & {window: number; counts: Record<string, number>; at: number};
 
 /** Accepts usage reports, and records violations of the rules for duties. */
 export class MemoryDuties implements DutyClient {
@@ -31,11 +31,11 @@
 	};
 
 	/** Accepted calls, in order of arrival. */
-	readonly performed: PerformedReport[] = [];
+	readonly performed: ReceivedReport[] = [];
 	/** Calls that were refused because of an older fence. */
-	readonly fenced: PerformedReport[] = [];
+	readonly fenced: ReceivedReport[] = [];
 	/** Violations: different reports for one window, or different holders with the same fence. */
-	readonly breaches: string[] = [];
+	readonly violations: string[] = [];
 	#highestFence = 0;
 
 	async reportUsage(report: UsageReport, right: DutyRight): Promise<DutyOutcome> {
@@ -91,14 +91,14 @@
 		return 'accepted';
 	}
 
-	#checkInvariants(call: PerformedReport): void {
+	#checkInvariants(call: ReceivedReport): void {
 		for (const other of this.performed) {
 			if (other.window === call.window && JSON.stringify(other.counts) !== JSON.stringify(call.counts)) {
-				this.breaches.push(`window ${call.window} was reported again with different counts`);
+				this.violations.push(`window ${call.window} was reported again with different counts`);
 			}
 
 			if (other.fence === call.fence && other.holder !== call.holder) {
-				this.breaches.push(`${call.holder} and ${other.holder} both acted under the fence ${call.fence}`);
+				this.violations.push(`${call.holder} and ${other.holder} both acted under the fence ${call.fence}`);
 			}
 		}
 	}
--- a/packages/standins/src/memory-serving.ts
+++ b/packages/standins/src/memory-serving.ts
@@ -75,7 +75,7 @@
 	}
 
 	/** Executes an order if its condition holds. */
-	take(order: WeightOrder): OrderOutcome {
+	execute(order: WeightOrder): OrderOutcome {
 		this.orders.push(order);
 		if (this.isBusy || order.expectedOrders !== this.orderCount) {
 			return 'changed';
@@ -182,12 +182,12 @@
 		if (endpoint.switches.ordersToDelay > 0) {
 			endpoint.switches.ordersToDelay -= 1;
 			setTimeout(() => {
-				endpoint.take(order);
+				endpoint.execute(order);
 			}, endpoint.switches.lateMs);
 			throw new PlatformError('unknown', 'no answer');
 		}
 
-		return endpoint.take(order);
+		return endpoint.execute(order);
 	}
 
 	#connect({address}: EndpointTarget): MemoryEndpoint {
--- a/packages/systems/__tests__/commit-gateway.spec.ts
+++ b/packages/systems/__tests__/commit-gateway.spec.ts
@@ -20,7 +20,7 @@
 			this.gateways.set(name, new CommitGateway({
 				name,
 				tables: this.tables,
-				maxDirect: 3,
+				maxDirectEntries: 3,
 				listEntries: () => names,
 				send: (to, message) => {
 					if (this.cut.has(to)) {
--- a/packages/systems/__tests__/executor.spec.ts
+++ b/packages/systems/__tests__/executor.spec.ts
@@ -128,7 +128,7 @@
 			await settle();
 			expect(find('a', 'started')).not.to.equal(undefined);
 			expect(executor.describe()).to.include({running: 8, waiting: 5, interactive: 1});
-			executor.reportHeld(8);
+			executor.updateReportedRuns(8);
 			engine.runs[0]!.feed.push(lastToken);
 			await settle();
 			expect(executor.describe(), 'the slot is not taken by a rollout').to.include({running: 7, waiting: 5});
@@ -136,16 +136,16 @@
 
 		it('are counted for runs that the engine started before the agent did', async () => {
 			const {executor} = createModelExecutor({limit: 4});
-			executor.reportHeld(3);
+			executor.updateReportedRuns(3);
 			openAll(executor, 'a', 'b', 'c', 'd');
 			await settle();
 			expect(engine.runs).to.have.lengthOf(1);
 			expect(executor.describe()).to.include({limit: 1, draining: 3});
-			executor.reportHeld(2);
+			executor.updateReportedRuns(2);
 			await settle();
 			expect(engine.runs, 'one of the inherited runs has ended').to.have.lengthOf(2);
 			await clock.tickAsync(2000);
-			executor.reportHeld(2);
+			executor.updateReportedRuns(2);
 			await settle();
 			expect(engine.runs, 'both runs in the report were started by the agent').to.have.lengthOf(4);
 		});
--- a/packages/systems/__tests__/invariants.spec.ts
+++ b/packages/systems/__tests__/invariants.spec.ts
@@ -40,8 +40,8 @@
 		violated: invariants => invariants.checkTakesWork('e', 60_000),
 	},
 	'shutdown-cuts-nothing': {
-		holding: invariants => invariants.checkNothingCutOff(0),
-		violated: invariants => invariants.checkNothingCutOff(1),
+		holding: invariants => invariants.checkNothingOpen(0),
+		violated: invariants => invariants.checkNothingOpen(1),
 	},
 	'configuration-forward': {
 		holding: invariants => invariants.checkConfigurationForward(1, 2),
--- a/packages/systems/src/answer-collector.ts
+++ b/packages/systems/src/answer-collector.ts
@@ -22,7 +22,7 @@
 		return this.#head && this.#bytes <= this.#maxBytes ? {...this.#head, body: Buffer.concat(this.#chunks)} : undefined;
 	}
 
-	take(event: AnswerEvent): void {
+	add(event: AnswerEvent): void {
 		if (event.kind === 'head') {
 			this.#head = {status: event.status, headers: event.headers};
 		} else if (event.kind === 'body') {
--- a/packages/systems/src/claimed-calls.ts
+++ b/packages/systems/src/claimed-calls.ts
@@ -67,7 +67,7 @@
 		const {claims} = settings;
 		this.#outcomeRecorders = {
 			answered: async (key, {answer}) => claims.complete(key, answer),
-			doubtful: async key => claims.doubt(key),
+			doubtful: async key => claims.markDoubtful(key),
 			released: async key => claims.release(key),
 		};
 	}
@@ -201,7 +201,7 @@
 			const collector = new AnswerCollector(maxAnswerBytes);
 			this.#settings.dispatcher.submit(call, {
 				onEvent(event, number) {
-					collector.take(event);
+					collector.add(event);
 					if (!submission.isEnded) {
 						listener.onEvent(event, number);
 					}
--- a/packages/systems/src/commit-gateway.ts
+++ b/packages/systems/src/commit-gateway.ts
@@ -38,7 +38,7 @@
 	name: string;
 	tables: TableService;
 	/** Maximum number of entries in a data centre for which each commits directly; 8 by default. */
-	maxDirect?: number;
+	maxDirectEntries?: number;
 	/** Names of the live entries of this data centre. */
 	listEntries(): readonly string[];
 	/** Sends a message to an entry by name; returns false if there is no link to it. */
@@ -82,7 +82,7 @@
 
 	/** Names of the current gatherers; empty while each entry commits directly. */
 	get gatherers(): string[] {
-		const {name, listEntries, maxDirect: limit = defaultMaxDirectEntries} = this.#settings;
+		const {name, listEntries, maxDirectEntries: limit = defaultMaxDirectEntries} = this.#settings;
 		const entries = [...new Set([...listEntries(), name])];
 		return entries.length <= limit ? [] : orderByRank('commits', entries).slice(0, gatherersPerDataCentre);
 	}
--- a/packages/systems/src/configuration-adopter.ts
+++ b/packages/systems/src/configuration-adopter.ts
@@ -15,7 +15,7 @@
  * adopter.onLinkDown(peer)          // when it is lost
  * adopter.receive(peer, message)    // for 'configuration', 'configuration-delta' and 'digest'
  * await adopter.tick()              // each second; in an entry also once at start, before it is ready
- * adopter.offer(accepted)           // entries: after an operator's change was accepted here
+ * adopter.adoptChange(accepted)           // entries: after an operator's change was accepted here
  * adopter.isReady                   // for /readyz
  * adopter.describe()                // for `status`: own version, peers' versions, whether the store answers
  * ```
@@ -74,7 +74,7 @@
 type AdoptedChange = {from: number; changed: ChangedNames};
 
 /** State of the configuration in this process. */
-export type AdopterStatus = {
+export type ConfigurationStatus = {
 	version: number;
 	isReady: boolean;
 	/** Whether the last read of the record succeeded; undefined if this process does not read it. */
@@ -121,7 +121,7 @@
 		return reportedVersions.length >= requiredPeers && this.#accepted.version >= Math.max(...reportedVersions.map(version => version!));
 	}
 
-	describe(): AdopterStatus {
+	describe(): ConfigurationStatus {
 		return {
 			version: this.#accepted.version,
 			isReady: this.isReady,
@@ -147,7 +147,7 @@
 	}
 
 	/** Adopts a change that an operator made through this process. */
-	offer(accepted: AcceptedConfiguration): ConfigurationOutput[] {
+	adoptChange(accepted: AcceptedConfiguration): ConfigurationOutput[] {
 		return this.#adopt(accepted);
 	}
 
--- a/packages/systems/src/dispatcher-endpoints.ts
+++ b/packages/systems/src/dispatcher-endpoints.ts
@@ -1,7 +1,7 @@
 /**
  * Table of the endpoints that an entry knows, with the state that dispatch needs.
  */
-import {LaggingLoad} from '@wasabiusher/decisions';
+import {LoadEstimator} from '@wasabiusher/decisions';
 import type {EndpointStatus} from '@wasabiusher/link';
 import {Table} from '@wasabiusher/shared';
 import type {Call} from './call.js';
@@ -22,7 +22,7 @@
 	/** Number of cancelled attempts of this entry whose stop is not confirmed yet. */
 	draining: number;
 	/** Estimated number of requests at the endpoint, from its reports and the requests that this entry has sent since. */
-	load: LaggingLoad;
+	load: LoadEstimator;
 	/** Time per unit of work, in milliseconds; undefined until measured. */
 	msPerCost?: number;
 };
@@ -38,7 +38,7 @@
 	/** Records that the link to an endpoint has come up. Adds the endpoint if it is new. */
 	attach(id: string, dataCentre: string): EndpointRow {
 		const row = this.get(id) ?? this.put({
-			id, dataCentre, isUp: true, isRetiring: false, open: 0, draining: 0, load: new LaggingLoad(),
+			id, dataCentre, isUp: true, isRetiring: false, open: 0, draining: 0, load: new LoadEstimator(),
 		});
 		row.dataCentre = dataCentre;
 		row.isUp = true;
--- a/packages/systems/src/dispatcher-probes.ts
+++ b/packages/systems/src/dispatcher-probes.ts
@@ -25,7 +25,7 @@
 /** Probes an ejected endpoint if a probe is due. Called with each status report of the endpoint. */
 export function probeIfDue({id, status}: EndpointRow, pool: Pool, send: ProbeSender): void {
 	const {ejection, sample} = pool;
-	if (!ejection.tryTakeProbe(id, performance.now())) {
+	if (!ejection.tryStartProbe(id, performance.now())) {
 		return;
 	}
 
--- a/packages/systems/src/dispatcher.ts
+++ b/packages/systems/src/dispatcher.ts
@@ -132,7 +132,7 @@
 		this.endpoints.attach(agent, dataCentre);
 		this.#stopResumeTimer(agent);
 		this.#attempts.relink(agent);
-		const snapshot = this.#suspicions.createGreeting();
+		const snapshot = this.#suspicions.createSnapshot();
 		if (snapshot) {
 			this.#settings.send(agent, snapshot);
 		}
--- a/packages/systems/src/execution-runner.ts
+++ b/packages/systems/src/execution-runner.ts
@@ -10,7 +10,7 @@
 import type {ExecutorLoad} from './executor-load.js';
 import type {ExecutorSettings} from './executor-settings.js';
 import type {OnceGuard} from './once-guard.js';
-import {PartRate} from './part-gatherer.js';
+import {PartRate} from './part-coalescer.js';
 import {readRun} from './run-reader.js';
 
 export type RunnerSettings = Pick<ExecutorSettings, 'endpoint' | 'send' | 'observe' | 'onFinished' | 'checkCrash'> & {
--- a/packages/systems/src/executor.ts
+++ b/packages/systems/src/executor.ts
@@ -174,7 +174,7 @@
 	 *
 	 * @param held - number of runs at the endpoint
 	 */
-	reportHeld(held: number): void {
+	updateReportedRuns(held: number): void {
 		const startedBefore = performance.now() - reportLagMs;
 		const own = this.#executions.filter(row => isAtEndpoint(row) && row.startedAt <= startedBefore).length;
 		this.#load.updateInherited(held, own, !this.#hasReport);
--- a/packages/systems/src/invariants.ts
+++ b/packages/systems/src/invariants.ts
@@ -113,7 +113,7 @@
 	}
 
 	/** At the end of a graceful shutdown: no call is open. */
-	checkNothingCutOff(openCalls: number): boolean {
+	checkNothingOpen(openCalls: number): boolean {
 		return this.check('shutdown-cuts-nothing', openCalls === 0, `${openCalls} open`);
 	}
 
--- a/packages/systems/src/part-gatherer.ts
+++ b/packages/systems/src/part-coalescer.ts
@@ -43,12 +43,12 @@
 }
 
 /** Returns how long a part of a priority class may be held for coalescing at the current rate, in milliseconds. */
-export function findGatherMs(priorityClass: PriorityClass, rate: PartRate): number {
+export function findMaxHoldMs(priorityClass: PriorityClass, rate: PartRate): number {
 	return priorityClass === 'interactive' && rate.isLow ? 0 : coalescingMs[priorityClass];
 }
 
 /** Coalesces the parts of one stream on their way to its entry. */
-export class PartGatherer {
+export class PartCoalescer {
 	readonly #findWindowMs: () => number;
 	readonly #send: (event: AnswerEvent) => void;
 	#parts: GenerationPart[] = [];
--- a/packages/systems/src/placement-runner.ts
+++ b/packages/systems/src/placement-runner.ts
@@ -6,7 +6,7 @@
  * models is not changed.
  */
 import {
-	DemandHistory, planPlacement, type Change, type Demand, type Holder,
+	DemandHistory, planPlacement, type Change, type Demand, type PlacedEndpoint,
 } from '@wasabiusher/decisions';
 import type {MessageOf} from '@wasabiusher/link';
 import type {Log} from '@wasabiusher/shared';
@@ -144,7 +144,7 @@
 		return [...demands.values()];
 	}
 
-	#describeHolder({agent, status}: ControlledEndpoint): Holder {
+	#describeHolder({agent, status}: ControlledEndpoint): PlacedEndpoint {
 		const move = this.#moves.get(agent);
 		// A change in progress counts as done; otherwise another engine would be moved for the same demand.
 		const holds = move?.to ?? status.models[0]?.model ?? '';
--- a/packages/systems/src/rollout-progress.ts
+++ b/packages/systems/src/rollout-progress.ts
@@ -1,7 +1,7 @@
 /**
  * Tracks how one endpoint gets to an ordered version: the events that change its state in a rollout of weights.
  */
-import {failReplica, maxFailures, type Replica} from '@wasabiusher/decisions';
+import {failReplica, maxFailures, type WeightReplica} from '@wasabiusher/decisions';
 
 /** Maximum time from the answer to a swap until a status shows its version, in milliseconds; the status is normally sent first. */
 const statusTimeoutMs = 3000;
@@ -11,7 +11,7 @@
 
 /** Progress of one endpoint towards a version. */
 export type Progress = {
-	replica: Replica;
+	replica: WeightReplica;
 	fetchFailures: number;
 	/** Detail of the last failure; empty if there was none. */
 	detail: string;
@@ -50,6 +50,6 @@
 }
 
 /** Returns whether an endpoint stays at its version until there is a newer one, after too many failures. */
-export function isStuck({state, failures}: Replica): boolean {
+export function isStuck({state, failures}: WeightReplica): boolean {
 	return state !== 'current' && failures >= maxFailures;
 }
--- a/packages/systems/src/run-reader.ts
+++ b/packages/systems/src/run-reader.ts
@@ -7,7 +7,7 @@
 import type {Execution} from './execution.js';
 import type {RunObservation} from './executor-load.js';
 import type {NumberedEvent} from './answer-buffer.js';
-import {findGatherMs, PartGatherer, type PartRate} from './part-gatherer.js';
+import {findMaxHoldMs, PartCoalescer, type PartRate} from './part-coalescer.js';
 
 /** HTTP statuses by which a plain service reports overload. */
 const overloadStatuses = new Set([429, 503]);
@@ -34,7 +34,7 @@
 	const reading: Reading = {
 		tokens: 0, firstTokens: 0, firstAt: 0, isOverloaded: false, isFinished: false,
 	};
-	const gatherer = new PartGatherer(() => findGatherMs(open.class, rate), event => {
+	const gatherer = new PartCoalescer(() => findMaxHoldMs(open.class, rate), event => {
 		send(buffer.append(event));
 	});
 	const events = streamRun(endpoint, {open, work: work!, signal: runAbort.signal})[Symbol.asyncIterator]();
--- a/packages/systems/src/steps-decisions.ts
+++ b/packages/systems/src/steps-decisions.ts
@@ -4,7 +4,7 @@
  * Lengths are recorded across all steps of the process, since prompts recur; versions are recorded by trainer and model.
  */
 import {
-	judgeDispatch, LengthPrediction, observeVersion, orderSamples, planCopies, type IdleEndpoint, type Straggler, type VersionForecast,
+	decideDispatch, LengthPrediction, observeVersion, orderSamples, planCopies, type IdleEndpoint, type Straggler, type VersionForecast,
 } from '@wasabiusher/decisions';
 import {hashText, dropOldest} from '@wasabiusher/shared';
 import {toPosition, type StepRequest} from './steps-request.js';
@@ -59,7 +59,7 @@
 		// A trainer that waits for this step publishes no new version until it has received it.
 		const known = stepsAhead === 0 ? {...forecast, intervalMs: undefined} : forecast;
 		const finishAt = now + ((this.#msPerToken ?? 0) * request.maxTokens);
-		return judgeDispatch(freshness, known, {engineVersion, finishAt, stepsAhead}, now) === 'start';
+		return decideDispatch(freshness, known, {engineVersion, finishAt, stepsAhead}, now) === 'start';
 	}
 
 	/** Returns idle samples in the order in which to start them. */
@@ -101,7 +101,7 @@
 			remainingTokens: this.#lengths.predictRemaining(lengthKey, promptHash, tokens, request.maxTokens),
 			madeTokens: tokens,
 			speed: Math.max(tokens, 1) / Math.max(1, now - startedAt),
-			isDoubled: runningAttempts > 1,
+			hasCopy: runningAttempts > 1,
 		};
 	}
 
--- a/packages/systems/src/steps-scoring.ts
+++ b/packages/systems/src/steps-scoring.ts
@@ -79,7 +79,7 @@
 			const collector = new AnswerCollector(maxAnswerBytes);
 			this.#dispatcher.submit(call, {
 				onEvent(event) {
-					collector.take(event);
+					collector.add(event);
 					if (event.kind === 'finished') {
 						resolve(readScore(collector));
 					}
--- a/packages/systems/src/steps.ts
+++ b/packages/systems/src/steps.ts
@@ -9,7 +9,7 @@
 import type {ObjectStore, TableService} from '@wasabiusher/backends';
 import type {Registry} from 'prom-client';
 import {
-	LeaseHolder, readLeaseOwner, SampleLog, TakeOverPace, type RecordedStep,
+	LeaseHolder, readLeaseOwner, SampleLog, TakeoverRateLimit, type RecordedStep,
 } from '@wasabiusher/record';
 import {
 	createProblem, describeError, type Log, type Problem, type Random,
@@ -73,7 +73,7 @@
 export class StepRunner {
 	readonly #settings: StepRunnerSettings;
 	readonly #context: StepContext;
-	readonly #takeOverPace = new TakeOverPace();
+	readonly #takeOverPace = new TakeoverRateLimit();
 	readonly #runs = new Map<string, Run>();
 	readonly #opening = new Map<string, Promise<Placement>>();
 	readonly #timer: NodeJS.Timeout;
@@ -279,7 +279,7 @@
 				address: address(),
 				random,
 				log,
-				pace: this.#takeOverPace,
+				takeoverLimit: this.#takeOverPace,
 				onChange() {
 					void recorder.advance();
 				},
--- a/packages/systems/src/suspicion-exchange.ts
+++ b/packages/systems/src/suspicion-exchange.ts
@@ -75,7 +75,7 @@
 	}
 
 	/** Returns the message with the current suspicions for a new peer; undefined if there are none. */
-	createGreeting(): MessageOf<'suspicions'> | undefined {
+	createSnapshot(): MessageOf<'suspicions'> | undefined {
 		const suspicions = this.#list().filter(({remainingMs}) => remainingMs > 0).slice(-maxSnapshotSuspicions);
 		return suspicions.length === 0 ? undefined : {kind: 'suspicions', suspicions};
 	}
--- a/packages/systems/src/weight-rollout.ts
+++ b/packages/systems/src/weight-rollout.ts
@@ -5,7 +5,7 @@
  * the weight store lists, so another holder continues where the previous one stopped: fetches are ordered
  * again, and those already complete are answered quickly. An endpoint counts as done when it reports the version, not when an order is answered.
  */
-import {planWave, type Replica, type WavePlan} from '@wasabiusher/decisions';
+import {planWave, type WeightReplica, type WavePlan} from '@wasabiusher/decisions';
 import type {EndpointStatus, Message, MessageOf} from '@wasabiusher/link';
 import type {WeightStore} from '@wasabiusher/backends';
 import {describeError, type Log} from '@wasabiusher/shared';
@@ -43,7 +43,7 @@
 	model: string;
 	version: number;
 	/** Number of endpoints in each state. */
-	counts: Record<Replica['state'], number>;
+	counts: Record<WeightReplica['state'], number>;
 	/** Endpoints that stay at an older version, with the reason. */
 	stuck: Array<{agent: string; detail: string}>;
 	/** Time since the version was found in the weight store, in milliseconds; once the rollout is done, its duration. */
@@ -242,7 +242,7 @@
 	}
 
 	/** Returns the replicas; an endpoint that swaps another of its models counts as swapping for this one too. */
-	#listReplicas(rollout: Rollout): Replica[] {
+	#listReplicas(rollout: Rollout): WeightReplica[] {
 		const swapping = new Set([...this.#orders.values()].filter(({kind}) => kind === 'load').map(({agent}) => agent));
 		return [...rollout.progress].map(([agent, {replica}]) => swapping.has(agent) ? {...replica, state: 'swapping'} : replica);
 	}
--- a/scripts/bench/decisions.ts
+++ b/scripts/bench/decisions.ts
@@ -5,7 +5,7 @@
 	chooseEndpoint, FairQueue, findSubset, type Candidate,
 } from '@wasabiusher/decisions';
 import {Random} from '@wasabiusher/shared';
-import {WaitOrder} from '@wasabiusher/slots';
+import {FairPriorityQueue} from '@wasabiusher/slots';
 import {createSlope, type Figure} from './figure.js';
 import {measureUs} from './measure.js';
 
@@ -58,13 +58,13 @@
 
 /** One in and one served, at a line of so many of a hundred customers, three classes and eight kinds of need, of which one has no endpoint. */
 function measureGrant(length: number): number {
-	const order = new WaitOrder<number>();
+	const order = new FairPriorityQueue<number>();
 	const random = new Random(seed);
 	let next = 0;
 	const add = (lane = random.integer(1, 7)) => {
 		next += 1;
 		order.add({
-			urgency: random.integer(0, 2), turn: `customer-${random.integer(0, 99)}`, weight: 1, lane: `lane-${lane}`, beginBy: next + random.integer(0, 1000),
+			urgency: random.integer(0, 2), turn: `customer-${random.integer(0, 99)}`, weight: 1, eligibilityKey: `lane-${lane}`, beginBy: next + random.integer(0, 1000),
 			rank: 0, cost: random.integer(1, 256),
 		}, next);
 	};
--- a/scripts/capacity/size.ts
+++ b/scripts/capacity/size.ts
@@ -1,10 +1,10 @@
 /**
  * The size designed for, and what follows from it and from the intervals in the code.
  */
-import {fullPaceLinks, msPerLink} from '@wasabiusher/agent';
+import {unthrottledLinks, minIntervalPerLinkMs} from '@wasabiusher/agent';
 import {defaultDegree} from '@wasabiusher/decisions';
 import {
-	controlCandidates, farDataCentres, farDegree, msPerMember,
+	controlCandidates, maxRemoteDataCentres, remoteDegree, refreshIntervalPerMemberMs,
 } from '@wasabiusher/entry';
 import {defaultLinkLimits} from '@wasabiusher/link';
 
@@ -77,7 +77,7 @@
 	const {
 		entries, endpoints, dataCentres, requestsPerSecond, tokensPerSecond, changesPerDay,
 	} = given;
-	const linksOfEntry = defaultDegree + (Math.min(farDataCentres, dataCentres - 1) * farDegree);
+	const linksOfEntry = defaultDegree + (Math.min(maxRemoteDataCentres, dataCentres - 1) * remoteDegree);
 	const linksOfAgent = linksOfEntry * entries / endpoints;
 	const tokensOfRequest = tokensPerSecond / requestsPerSecond;
 	const requestsOfEntry = requestsPerSecond / entries;
@@ -96,8 +96,8 @@
 		// Little's law.
 		openRequestsOfEntry: requestsOfEntry * tokensOfRequest / assumed.tokensPerSecondOfStream,
 		changesPerSecond: changesPerDay / secondsOfDay,
-		reportsPerSecond: 1000 / ((linksOfAgent - fullPaceLinks) * msPerLink),
-		membershipReadsPerSecond: 1000 / ((entries + endpoints) * msPerMember),
+		reportsPerSecond: 1000 / ((linksOfAgent - unthrottledLinks) * minIntervalPerLinkMs),
+		membershipReadsPerSecond: 1000 / ((entries + endpoints) * refreshIntervalPerMemberMs),
 		heartbeatsPerSecond: 1000 / defaultLinkLimits.heartbeatMs,
 		entriesOfDataCentre: entries / dataCentres,
 		endpointsOfDataCentre: endpoints / dataCentres,
--- a/scripts/mutants.ts
+++ b/scripts/mutants.ts
@@ -45,7 +45,7 @@
 	},
 	{
 		name: 'usage is sent under a number that was refused',
-		patches: [{file: duties('usage-reporter'), find: 'return right.holds() && right.fence > this.#refusedFence;', replace: 'return right.holds();'}],
+		patches: [{file: duties('usage-reporter'), find: 'return lease.holds() && lease.fence > this.#refusedFence;', replace: 'return lease.holds();'}],
 		specs: [usageSpec],
 	},
 	{
@@ -222,8 +222,8 @@
 	},
 	{
 		name: 'an order with an old fence is carried out',
-		patches: [{file: 'packages/agent/src/order-desk.ts', find: 'if (!await floor.raise(fence)) {', replace: 'if (!await floor.raise(fence) && fence < 0) {'}],
-		specs: ['packages/agent/__tests__/order-desk.spec.ts'],
+		patches: [{file: 'packages/agent/src/order-handler.ts', find: 'if (!await floor.raise(fence)) {', replace: 'if (!await floor.raise(fence) && fence < 0) {'}],
+		specs: ['packages/agent/__tests__/order-handler.spec.ts'],
 	},
 	{
 		name: 'a scorer is asked under a key of each try',
