--- a/packages/shared/__tests__/collections.spec.ts
+++ b/packages/shared/__tests__/collections.spec.ts
@@ -2,7 +2,7 @@
 import {dropOldest, findMiddle} from '../src/index.js';
 
 describe('dropOldest', () => {
-	it('forgets what was added first, of maps and sets, and nothing within the bound', () => {
+	it('removes the oldest entries of maps and sets, and none within the maximum size', () => {
 		const map = new Map([['a', 1], ['b', 2], ['c', 3]]);
 		dropOldest(map, 2);
 		expect([...map.keys()]).to.deep.equal(['b', 'c']);
@@ -15,7 +15,7 @@
 });
 
 describe('findMiddle', () => {
-	it('gives the middle whatever the order, the lower one of two, and nothing of nothing', () => {
+	it('returns the lower median in any order of the values, and undefined if there are none', () => {
 		expect([findMiddle([9, 1, 5]), findMiddle([4, 3]), findMiddle([])]).to.deep.equal([5, 3, undefined]);
 	});
 });
--- a/packages/shared/__tests__/repeated-failures.spec.ts
+++ b/packages/shared/__tests__/repeated-failures.spec.ts
@@ -20,7 +20,7 @@
 		clock.uninstall();
 	});
 
-	it('logs the first failure at once, then a count each second, and how it ended', () => {
+	it('logs the first failure at once, then the count once a second, and the recovery', () => {
 		for (let i = 0; i < 25; i += 1) {
 			failures.record({reason: 'silent'});
 			clock.tick(100);
@@ -36,7 +36,7 @@
 		]);
 	});
 
-	it('logs each failure that stands alone', () => {
+	it('logs each isolated failure, without a line for its recovery', () => {
 		failures.record({});
 		failures.recover();
 		failures.record({});
--- a/packages/shared/__tests__/sample.spec.ts
+++ b/packages/shared/__tests__/sample.spec.ts
@@ -12,11 +12,11 @@
 		expect(spans).to.deep.equal([{version: 3, from: 0, to: 5}, {version: 4, from: 5, to: 7}]);
 	});
 
-	it('judges age by the oldest part', () => {
+	it('finds the oldest version of any part', () => {
 		expect(findOldestVersion([{version: 4, from: 0, to: 1}, {version: 2, from: 1, to: 2}])).to.equal(2);
 	});
 
-	it('fixes the id by step, group and index', () => {
+	it('formats the id from step, group and index', () => {
 		expect(formatSampleId('s1', 2, 3)).to.equal('s1/2/3');
 	});
 });
--- a/packages/shared/src/collections.ts
+++ b/packages/shared/src/collections.ts
@@ -2,10 +2,10 @@
  * Small helpers for collections.
  */
 
-/** Forgets the entries that were added first until at most `most` are left. */
-export function dropOldest<Key>(entries: Map<Key, unknown> | Set<Key>, most: number): void {
+/** Removes entries in the order of their insertion until at most `maxSize` are left. */
+export function dropOldest<Key>(entries: Map<Key, unknown> | Set<Key>, maxSize: number): void {
 	for (const key of entries.keys()) {
-		if (entries.size <= most) {
+		if (entries.size <= maxSize) {
 			return;
 		}
 
@@ -13,7 +13,7 @@
 	}
 }
 
-/** Middle of some values, the lower one of two; undefined if there are none. */
+/** Returns the lower median of the values; undefined if there are none. */
 export function findMiddle(values: readonly number[]): number | undefined {
 	return values.toSorted((a, b) => a - b)[Math.floor((values.length - 1) / 2)];
 }
--- a/packages/shared/src/configuration-delta.ts
+++ b/packages/shared/src/configuration-delta.ts
@@ -1,8 +1,8 @@
 /**
  * Changes between two accepted configurations, small enough to be sent to every process.
  *
- * A delta names the final value of each entry that changed, so it may be applied to any version from its
- * first to its last. A hash of the result shows a copy that has drifted.
+ * A delta holds the final value of each entry that changed, so it can be applied to every version from `from` up to, but not including, its
+ * own. A hash of the result detects copies that have diverged.
  */
 import {z} from 'zod';
 import {
@@ -11,21 +11,21 @@
 import {hashText} from './hashing.js';
 
 export const configurationDeltaSchema = acceptedConfigurationSchema.omit({configuration: true}).extend({
-	/** The lowest version that it may be applied to. */
+	/** Lowest version that it can be applied to. */
 	from: z.int().nonnegative(),
-	/** Hash of the whole configuration after it. */
+	/** Hash of the whole configuration after the change, see `hashConfiguration`. */
 	hash: z.string(),
 	/** New values by name. */
 	profiles: z.record(z.string(), profileSchema),
 	services: z.record(z.string(), serviceSchema),
-	/** Names that no longer exist. */
+	/** Names that were removed. */
 	gone: z.object({profiles: z.array(z.string()), services: z.array(z.string())}),
 });
 
-/** What turns version `from` (or a later one) into `version`. */
+/** The changes that turn version `from`, or a later one, into `version`. */
 export type ConfigurationDelta = z.infer<typeof configurationDeltaSchema>;
 
-/** The parts of a configuration that a change touched. */
+/** Names of the profiles and services that a change added, altered or removed. */
 export type ChangedNames = {profiles: ReadonlySet<string>; services: ReadonlySet<string>};
 
 function sortKeys(value: unknown): unknown {
@@ -43,7 +43,7 @@
 		.map(([key, item]) => [key, sortKeys(item)]));
 }
 
-/** Hashes a configuration, whatever the order of its names. */
+/** Hashes a configuration; the order of its keys does not matter. */
 export function hashConfiguration(configuration: Configuration): string {
 	return hashText(JSON.stringify(sortKeys(configuration)));
 }
@@ -53,7 +53,7 @@
 	return new Set([...names].filter(name => JSON.stringify(sortKeys(before[name])) !== JSON.stringify(sortKeys(after[name]))));
 }
 
-/** Lists what differs between two configurations. */
+/** Lists the profiles and services that differ between two configurations. */
 export function findChangedNames(before: Configuration, after: Configuration): ChangedNames {
 	return {
 		profiles: findChanged(before.profiles, after.profiles),
@@ -65,11 +65,11 @@
 	return Object.fromEntries(Object.entries(values).filter(([name]) => names.has(name)));
 }
 
-function listGone(names: ReadonlySet<string>, values: Readonly<Record<string, unknown>>): string[] {
+function listRemoved(names: ReadonlySet<string>, values: Readonly<Record<string, unknown>>): string[] {
 	return [...names].filter(name => !Object.hasOwn(values, name));
 }
 
-/** Builds the delta that brings any version from `from` on to `accepted`. */
+/** Builds the delta that brings version `from`, or a later one, to the accepted one. */
 export function createConfigurationDelta({configuration, ...rest}: AcceptedConfiguration, from: number, changed: ChangedNames): ConfigurationDelta {
 	const {profiles, services} = configuration;
 	return {
@@ -78,7 +78,7 @@
 		hash: hashConfiguration(configuration),
 		profiles: pick(changed.profiles, profiles),
 		services: pick(changed.services, services),
-		gone: {profiles: listGone(changed.profiles, profiles), services: listGone(changed.services, services)},
+		gone: {profiles: listRemoved(changed.profiles, profiles), services: listRemoved(changed.services, services)},
 	};
 }
 
@@ -86,7 +86,7 @@
 	return Object.fromEntries(Object.entries({...values, ...changes}).filter(([name]) => !gone.includes(name)));
 }
 
-/** Applies a delta; undefined if it does not fit, and the whole configuration has to be asked for. */
+/** Applies a delta. Returns undefined if it does not fit the version or the hash differs; the whole configuration must be requested then. */
 export function applyConfigurationDelta(accepted: AcceptedConfiguration, delta: ConfigurationDelta): AcceptedConfiguration | undefined {
 	const {
 		from, hash, profiles, services, gone, ...rest
--- a/packages/shared/src/configuration.ts
+++ b/packages/shared/src/configuration.ts
@@ -1,67 +1,67 @@
 /**
- * What operators accept: named profiles and services.
+ * The configuration that operators put in force: named profiles and services.
  *
- * One schema serves the command line's check, the entry's check and every
- * adopter, so that a document that passed once passes everywhere.
+ * The command line, the entry and every process that adopts a configuration validate with the same schema, so a document that is valid for
+ * one of them is valid for all.
  */
 import {z} from 'zod';
 
-/** Longest deadline of a profile: a day, in milliseconds; nothing waits longer. */
+/** Maximum of deadlines and waits: a day, in milliseconds. */
 const maxDeadlineMs = 86_400_000;
 
 const nameSchema = z.string().regex(/^[a-z][a-z\d\-]{0,62}$/v, 'expected a lower-case name of letters, digits and hyphens');
 
-/** How late weights may be when a sample is handed over; both bounds hold. */
+/** Maximum staleness of a sample's weights when it is delivered; both bounds apply. */
 export const freshnessSchema = z.strictObject({
-	/** Most versions that a sample's oldest part may lie behind the trainer's. */
+	/** Maximum number of versions by which a sample's oldest part may lag behind the trainer's version. */
 	versions: z.int().min(0).max(1000),
-	/** Greatest age of the sample's oldest version since a newer one came, in seconds. */
+	/** Maximum time since the sample's oldest version was superseded, in seconds. */
 	seconds: z.number().positive().optional(),
 });
 
-/** What the burn report judges, as the fraction that must be good. */
+/** Service level objectives for the burn report, each the minimum fraction of good events. */
 export const objectiveSchema = z.strictObject({
-	/** Requests answered whole before their deadline. */
+	/** Requests answered completely before their deadline. */
 	answeredInTime: z.number().gt(0).lt(1).optional(),
-	/** Share of time for which trainers are not kept waiting. */
+	/** Time in which trainers do not wait for samples. */
 	trainerBusy: z.number().gt(0).lt(1).optional(),
-	/** Samples handed over within their bound, first time. */
+	/** Samples that are within their staleness bound at the first delivery. */
 	fresh: z.number().gt(0).lt(1).optional(),
 });
 
-/** Scoring of samples before hand-over. */
+/** Scoring of samples before delivery. */
 export const scoringSchema = z.strictObject({
 	service: nameSchema,
-	/** Longest wait for a score after the sample is whole, in milliseconds; then it goes unscored and says so. */
+	/** Maximum wait for a score after the sample is complete, in milliseconds; after that the sample is delivered with its score marked as missing. */
 	waitMs: z.int().min(0).max(maxDeadlineMs),
 });
 
-/** Classes from the most to the least urgent. */
+/** Priority classes, most urgent first. */
 export const priorityClasses = ['interactive', 'rollout', 'background'] as const;
 
 export const profileSchema = z.strictObject({
 	class: z.enum(priorityClasses),
-	/** Order within the class: 0 is the least urgent. */
+	/** Order within the class; 0 is the least urgent. */
 	priority: z.int().min(0).max(9).default(5),
 	idempotent: z.boolean(),
 	/** End-to-end deadline when the caller gives none, in milliseconds. */
 	deadlineMs: z.int().min(1).max(maxDeadlineMs),
-	/** Weight in the division of capacity among profiles. */
+	/** Weight in the fair division of capacity among profiles. */
 	share: z.number().positive().max(1000).default(1),
 	freshness: freshnessSchema.optional(),
 	scoring: scoringSchema.optional(),
-	/** Whether a second attempt may be started for a slow one; idempotent profiles only. */
+	/** Whether slow requests may be hedged with a second attempt; idempotent profiles only. */
 	hedge: z.boolean().default(false),
 	objective: objectiveSchema.default({}),
 }).refine(profile => profile.idempotent || !profile.hedge, {
 	error: 'expected false: a non-idempotent request runs at most once', path: ['hedge'],
 });
 
-/** A pool of endpoints that serve the same thing. */
+/** A pool of interchangeable endpoints. */
 export const serviceSchema = z.discriminatedUnion('kind', [
 	z.strictObject({
 		kind: z.literal('model'),
-		/** Models (or `model:adapter`) that the pool's engines may hold. */
+		/** Models, `model` or `model:adapter`, that the pool's engines may load. */
 		models: z.array(z.string().min(1)).min(1),
 	}),
 	z.strictObject({kind: z.literal('plain')}),
@@ -89,9 +89,9 @@
 export type Configuration = z.infer<typeof configurationSchema>;
 export type PriorityClass = Profile['class'];
 
-/** A configuration with its place in the history. */
+/** A configuration with its version, time and author. */
 export const acceptedConfigurationSchema = z.object({
-	/** Counts up by one with each accepted change; 0 before the first. */
+	/** Increases by one with each accepted change; 0 before the first. */
 	version: z.int().nonnegative(),
 	configuration: configurationSchema,
 	/** When it was accepted, in milliseconds since the epoch. */
@@ -101,7 +101,7 @@
 
 export type AcceptedConfiguration = z.infer<typeof acceptedConfigurationSchema>;
 
-/** What is in force before any configuration was accepted. */
+/** The configuration in force until the first one is accepted. */
 export const emptyConfiguration: AcceptedConfiguration = {
 	version: 0, configuration: {profiles: {}, services: {}}, acceptedAt: 0, author: '',
 };
--- a/packages/shared/src/errors.ts
+++ b/packages/shared/src/errors.ts
@@ -1,8 +1,7 @@
 /**
- * The base of all errors thrown on purpose.
+ * The base class of the errors that the layers throw.
  *
- * Each layer extends it with a class of its own and turns errors from below
- * into that class, keeping them as `cause`.
+ * Each layer extends it and wraps the errors of the layer below, with the original error as `cause`.
  */
 
 /** An error with a code that programs can act on. */
@@ -12,7 +11,7 @@
 
 	/**
 	 * @param code - stable, machine-readable reason
-	 * @param message - what was got, what was expected and what to do
+	 * @param message - what was received, what was expected and what to do
 	 * @param cause - the error from the layer below, if any
 	 */
 	constructor(code: Code, message: string, cause?: unknown) {
--- a/packages/shared/src/gateway-status.ts
+++ b/packages/shared/src/gateway-status.ts
@@ -1,23 +1,23 @@
 /**
- * What a gateway tells operators of itself: `GET /status` on its address for metrics, as `wasabiusher gateways` reads it.
+ * The status that a gateway reports to operators: `GET /status` on its metrics address, read by `wasabiusher gateways`.
  */
 import {z} from 'zod';
 
 const countSchema = z.int().nonnegative();
 
-/** An endpoint as one host sees it; times in milliseconds. */
+/** The state of an endpoint as known to one host; times are in milliseconds. */
 export const endpointViewSchema = z.object({
 	id: z.string(),
 	service: z.string(),
 	dataCentre: z.string(),
 	slots: countSchema,
-	/** Requests of this host there, and of others as last told. */
+	/** Open requests of this host at the endpoint (`open`), and those of other hosts by their last reports (`others`). */
 	open: countSchema,
 	others: z.number().nonnegative(),
 	isDraining: z.boolean(),
-	/** Whether a request may be sent there now, as far as refusals, silences and loads go. */
+	/** Whether a request may be sent to it now, judged by refusals, unanswered requests and weight loads. */
 	isAvailable: z.boolean(),
-	/** Time for a unit of work of late, and the best that any host has measured of late. */
+	/** Recent time per unit of work, measured by this host (`paceMs`), and the lowest that any host has measured recently (`bestPaceMs`). */
 	paceMs: z.number().optional(),
 	bestPaceMs: z.number().optional(),
 	versions: z.record(z.string(), z.int()),
@@ -25,29 +25,29 @@
 
 export type EndpointView = z.infer<typeof endpointViewSchema>;
 
-/** Ways to the store. */
+/** How a gateway reaches the store. */
 export const storeWays = ['direct', 'relayed', 'lost'] as const;
 
 export const gatewayStatusSchema = z.object({
 	host: z.string(),
 	dataCentre: z.string(),
 	isReady: z.boolean(),
-	/** Version in force; undefined before the first one was read. */
+	/** Version of the configuration in force; undefined before the first one was read. */
 	configuration: z.int().optional(),
-	/** Time since the store last told of the configuration, in milliseconds; undefined if it never did. */
+	/** Time since the configuration was last confirmed by the store, in milliseconds; undefined if it never was. */
 	configurationAgeMs: z.number().optional(),
 	storeWay: z.enum(storeWays),
-	/** How late this process's timers are, in milliseconds. */
+	/** Event-loop lag of this process, in milliseconds. */
 	lateMs: z.number(),
-	/** Whether it holds the lease for orders and reports. */
+	/** Whether this host holds the lease for orders and reports. */
 	isHolder: z.boolean(),
-	/** Shares of batches that it works on. */
+	/** Number of shares of batches that this host works on. */
 	shares: countSchema,
-	/** Texts that have not begun at this host, by model. */
+	/** Number of generations that have not started at this host, by model. */
 	waiting: z.record(z.string(), countSchema),
-	/** Newest published version by model. */
+	/** Latest published version by model. */
 	published: z.record(z.string(), z.int()),
-	/** Who waits for a slot, and for how long the oldest has, in milliseconds. */
+	/** Flows with requests that wait for a slot; `oldestMs` is how long the first of them has waited, in milliseconds. */
 	turns: z.array(z.object({
 		turn: z.string(), urgency: z.int(), waiting: countSchema, oldestMs: z.number(),
 	})).default([]),
--- a/packages/shared/src/generation.ts
+++ b/packages/shared/src/generation.ts
@@ -1,5 +1,5 @@
 /**
- * What is asked of a model engine and what it answers, with no wire format in it.
+ * Generation requests to a model engine and their results, independent of the engine's wire format.
  */
 import {z} from 'zod';
 
@@ -8,20 +8,20 @@
 export const generationRequestSchema = z.object({
 	/** `model` or `model:adapter`. */
 	model: z.string().min(1),
-	/** Text after which generation goes on; chats are given as messages instead. */
+	/** Text to continue; chats use `messages` instead. */
 	prompt: z.string().optional(),
 	messages: z.array(messageSchema).optional(),
-	/** Most tokens to make. */
+	/** Maximum number of tokens to generate. */
 	maxTokens: z.int().min(1).max(1_000_000),
 	temperature: z.number().min(0).max(10).optional(),
 	seed: z.int().optional(),
-	/** Text already generated, to go on from. */
+	/** Generated text of an earlier attempt, to continue from. */
 	resumeFrom: z.string().optional(),
 });
 
 export type GenerationRequest = z.infer<typeof generationRequestSchema>;
 
-/** One part of an answer: text, how many tokens it is, and the version that made it. */
+/** One part of a result: its text, the number of its tokens and the weight version that generated it. */
 export const generationPartSchema = z.object({
 	text: z.string(),
 	tokens: z.int().nonnegative(),
@@ -30,7 +30,7 @@
 
 export type GenerationPart = z.infer<typeof generationPartSchema>;
 
-/** Why a generation ended; without one of these it is not whole. */
+/** Why a generation ended; a generation without a reason is incomplete. */
 export const finishReasonSchema = z.enum(['stop', 'length']);
 
 export type FinishReason = z.infer<typeof finishReasonSchema>;
--- a/packages/shared/src/grouping.ts
+++ b/packages/shared/src/grouping.ts
@@ -1,8 +1,8 @@
 /**
- * Grouping of items by a key; `Map.groupBy` is not in Node.js 20.
+ * Grouping of items by a key; Node.js 20 has no `Map.groupBy`.
  */
 
-/** Items by their key, in the order in which they came. */
+/** Groups items by key; groups and items keep the order of the input. */
 export function groupBy<Item, Key>(items: Iterable<Item>, findKey: (item: Item) => Key): Map<Key, Item[]> {
 	const groups = new Map<Key, Item[]>();
 	for (const item of items) {
--- a/packages/shared/src/hashing.ts
+++ b/packages/shared/src/hashing.ts
@@ -1,8 +1,8 @@
 /**
- * Hashing: fingerprints of content and ranks for rendezvous selection.
+ * Content fingerprints and ranks for rendezvous hashing.
  *
- * xxhash64 by library; it spreads well and is fast, and none of these uses
- * has to withstand an adversary who can choose keys to collide.
+ * Uses xxHash, which is fast and distributes evenly. It is not collision-resistant, so it must not be used where an adversary gains from
+ * choosing colliding keys.
  */
 import xxhash from 'xxhash-wasm';
 
@@ -19,16 +19,15 @@
 }
 
 /**
- * Scores a candidate for a key; the highest score wins.
+ * Scores a candidate for a key; the candidate with the highest score is selected.
  *
- * Highest random weight hashing (Thaler and Ravishankar, 1998): when a
- * candidate goes, only the keys that it held move.
+ * Rendezvous (highest random weight) hashing (Thaler and Ravishankar, 1998): when a candidate is removed, only its own keys move.
  */
 export function rankCandidate(key: string, candidate: string): number {
 	return hasher.h32(`${key}\u0000${candidate}`);
 }
 
-/** Orders candidates by their rank for a key, highest first; ties by name. */
+/** Orders candidates by their rank for a key, highest first; ties are ordered by name. */
 export function orderByRank(key: string, candidates: readonly string[]): string[] {
 	return candidates
 		.map(candidate => ({candidate, rank: rankCandidate(key, candidate)}))
--- a/packages/shared/src/index.ts
+++ b/packages/shared/src/index.ts
@@ -1,4 +1,4 @@
-/** What every package shares: schemas of the domain, tables, errors, hashing, random numbers and logs. */
+/** Code that all packages use: schemas of the domain, tables, errors, hashing, random numbers and logs. */
 export * from './collections.js';
 export * from './configuration.js';
 export * from './configuration-delta.js';
--- a/packages/shared/src/log.ts
+++ b/packages/shared/src/log.ts
@@ -1,8 +1,7 @@
 /**
  * Structured logs: one line of key=value pairs for each event.
  *
- * Payloads and secrets are never passed to it; `redactedKeys` is the second
- * line of defence for those that slip in by name.
+ * Callers never pass payloads or secrets. `redactedKeys` is a second safeguard that redacts them by name.
  */
 import process from 'node:process';
 import {createConsola, type ConsolaInstance, type LogObject} from 'consola';
@@ -10,13 +9,13 @@
 /** Values that a log line may carry. */
 export type LogValue = string | number | boolean | undefined;
 
-/** Names whose values are withheld. */
+/** Keys whose values are redacted. */
 const redactedKeys = new Set(['token', 'key', 'secret', 'authorization', 'prompt', 'body', 'payload', 'text']);
 
-/** Longest value printed, in characters; a line stays readable on a terminal. */
+/** Longer values are truncated to this many characters, so that lines stay readable on a terminal. */
 const maxValueLength = 400;
 
-/** Consola's numbers for the levels of the `log-level` setting. */
+/** Consola's level numbers for the `log-level` setting. */
 const levels = {
 	error: 0, warn: 1, info: 3, debug: 4,
 } as const;
@@ -40,15 +39,15 @@
 	return [`event=${event}`, ...pairs].join(' ');
 }
 
-/** Writes events of one program at or above its level. */
+/** Writes the events of one program that are at least as severe as the level. */
 export class Log {
 	readonly #consola: ConsolaInstance;
 	readonly #program: string;
 
 	/**
-	 * @param program - stands on every line
+	 * @param program - name of the program, included in every line
 	 * @param level - least severe level written
-	 * @param write - where lines go; standard error by default, so that output stays clean
+	 * @param write - writes a line; to standard error by default, because standard output is for results
 	 */
 	constructor(program: string, level: LogLevel = 'info', write: (line: string) => void = line => process.stderr.write(`${line}\n`)) {
 		this.#program = program;
--- a/packages/shared/src/problem.ts
+++ b/packages/shared/src/problem.ts
@@ -1,10 +1,9 @@
 /**
- * Problems told to callers, trainers and operators (RFC 9457), with `ran`:
- * whether the request may have had an effect.
+ * Problem details (RFC 9457) returned to callers, trainers and operators, extended by `ran`: whether the request may have had an effect.
  */
 import {z} from 'zod';
 
-/** `no` is said only when it is proven that no byte reached an endpoint. */
+/** `no` is only reported if it is certain that no byte of the request reached an endpoint. */
 export const ranSchema = z.enum(['no', 'yes', 'unknown']);
 
 export type Ran = z.infer<typeof ranSchema>;
@@ -25,7 +24,7 @@
 
 export type ProblemKind = z.infer<typeof problemKindSchema>;
 
-/** Each kind of problem: HTTP status and title. */
+/** HTTP status and title of each kind of problem. */
 export const problems: Readonly<Record<ProblemKind, {status: number; title: string}>> = {
 	'bad-request': {status: 400, title: 'The request is not valid'},
 	unauthorized: {status: 401, title: 'A valid token is required'},
@@ -40,7 +39,7 @@
 	'deadline-exceeded': {status: 504, title: 'The deadline passed'},
 };
 
-/** The body of an `application/problem+json` answer. */
+/** The body of an `application/problem+json` response. */
 export const problemSchema = z.object({
 	type: z.string(),
 	kind: problemKindSchema,
@@ -56,7 +55,7 @@
 /**
  * Builds a problem of a known kind.
  *
- * @param retryAfterMs - when the caller should come back, in milliseconds
+ * @param retryAfterMs - time after which the caller should retry, in milliseconds
  */
 export function createProblem(kind: ProblemKind, detail: string, ran: Ran, retryAfterMs?: number): Problem {
 	const {status, title} = problems[kind];
--- a/packages/shared/src/random.ts
+++ b/packages/shared/src/random.ts
@@ -1,11 +1,11 @@
 /**
- * Seeded random numbers, handed in wherever a decision needs chance.
+ * Seeded random numbers. Code that makes random decisions receives its generator as an argument.
  */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {uniformFloat64} from 'pure-rand/distribution/uniformFloat64';
 
-/** A source of random numbers; the same seed gives the same sequence. */
+/** A generator of random numbers; the same seed gives the same sequence. */
 export class Random {
 	readonly #generator;
 
@@ -14,22 +14,22 @@
 		this.#generator = xoroshiro128plus(seed);
 	}
 
-	/** A number in [0, 1). */
+	/** Returns a number in [0, 1). */
 	next(): number {
 		return uniformFloat64(this.#generator);
 	}
 
-	/** An integer from `low` to `high`, both included. */
+	/** Returns an integer from `low` to `high`, both inclusive. */
 	integer(low: number, high: number): number {
 		return uniformInt(this.#generator, low, high);
 	}
 
-	/** One of the items; the list must not be empty. */
+	/** Returns a random item; the list must not be empty. */
 	pick<Item>(items: readonly Item[]): Item {
 		return items[this.integer(0, items.length - 1)]!;
 	}
 
-	/** A number drawn from the exponential distribution with the given mean. */
+	/** Returns a sample of the exponential distribution with the given mean. */
 	exponential(mean: number): number {
 		return -mean * Math.log(1 - this.next());
 	}
--- a/packages/shared/src/repeated-failures.ts
+++ b/packages/shared/src/repeated-failures.ts
@@ -1,23 +1,23 @@
 /**
- * Log lines of a failure that repeats.
+ * Rate-limited logging of a failure that repeats.
  *
- * Load pattern: while a store is silent each host fails several times a second at each thing it wants written, for as long as that lasts. The
- * first failure is logged at once, then how many there were in each second, and once that it is over.
+ * Load pattern: while a store does not answer, each host fails several times a second at each of its writes, for the whole outage. The first
+ * failure is logged at once, then the count once a second, and finally the recovery.
  */
 import type {Log, LogValue} from './log.js';
 
-/** Time between lines about the same failure, in milliseconds. */
-const lineMs = 1000;
+/** Minimum time between two lines about the same failure, in milliseconds. */
+const logIntervalMs = 1000;
 
 export type RepeatedFailureSettings = {
 	log: Log;
-	/** Event of the lines about the failure. */
+	/** Log event of a failure. */
 	event: string;
-	/** Event of the line that tells that it is over. */
+	/** Log event of the recovery. */
 	overEvent: string;
 };
 
-/** Counts one kind of failure and logs it now and then. */
+/** Counts failures of one kind and logs them at most once per interval. */
 export class RepeatedFailures {
 	readonly #settings: RepeatedFailureSettings;
 	#total = 0;
@@ -29,7 +29,7 @@
 		this.#settings = settings;
 	}
 
-	/** Notes a failure; `times` of its line counts those since the last line. */
+	/** Records a failure; `times` in the log line is the number of failures since the previous line. */
 	record(values: Readonly<Record<string, LogValue>>): void {
 		const now = performance.now();
 		if (this.#total === 0) {
@@ -38,7 +38,7 @@
 
 		this.#total += 1;
 		this.#unlogged += 1;
-		if (now - this.#loggedAt < lineMs && this.#total > 1) {
+		if (now - this.#loggedAt < logIntervalMs && this.#total > 1) {
 			return;
 		}
 
@@ -48,7 +48,7 @@
 		this.#loggedAt = now;
 	}
 
-	/** Notes a success; tells how often it has failed before, and for how long, if more than once. */
+	/** Records a success; logs the number of failures before it and their duration if there was more than one. */
 	recover(): void {
 		if (this.#total > 1) {
 			const {log, overEvent} = this.#settings;
--- a/packages/shared/src/table.ts
+++ b/packages/shared/src/table.ts
@@ -1,8 +1,8 @@
 /**
- * Typed tables of entities, over which the systems run at each tick.
+ * Typed in-memory tables of entities, which the systems process at each tick.
  */
 
-/** What every row has. */
+/** The members that every row has. */
 export type Row = {readonly id: string};
 
 /** Rows by id, in order of insertion. */
@@ -27,12 +27,12 @@
 		return row;
 	}
 
-	/** Removes a row; false when there was none. */
+	/** Removes a row; returns whether it existed. */
 	remove(id: string): boolean {
 		return this.#rows.delete(id);
 	}
 
-	/** The rows for which the test holds. */
+	/** Returns the rows that satisfy the test. */
 	filter(test: (row: Entity) => boolean): Entity[] {
 		return [...this.#rows.values()].filter(row => test(row));
 	}
