--- a/packages/link/__tests__/codec.spec.ts
+++ b/packages/link/__tests__/codec.spec.ts
@@ -8,7 +8,7 @@
 	checkMessage, decodeMessage, encodeMessage, LinkError, maxMessageBytes, unpackFrame, type Message,
 } from '../src/index.js';
 
-/** Runs of each property; a second or so in all. */
+/** Number of runs of each property; all of them take about a second. */
 const numberRuns = 500;
 
 const packr = new Packr({useRecords: false});
@@ -19,7 +19,7 @@
 	};
 }
 
-/** What a decoder may do with any input: make messages of it or throw a LinkError. */
+/** Decodes any input; asserts that the decoder returns messages or throws a `LinkError`. */
 function tryDecode(frame: Uint8Array): Message[] | LinkError {
 	try {
 		return unpackFrame(frame).map(value => checkMessage(value));
@@ -30,7 +30,7 @@
 }
 
 describe('codec', () => {
-	it('brings back what was encoded, one message or several to a frame', () => {
+	it('decodes what was encoded, with one or more messages in a frame', () => {
 		assert(property(array(array(string()), {minLength: 1, maxLength: 5}), lists => {
 			const messages = lists.map((texts, index) => createPart(index, texts));
 			const frame = Buffer.concat(messages.map(message => encodeMessage(message)));
@@ -38,13 +38,13 @@
 		}), {numRuns: numberRuns, seed: 1});
 	});
 
-	it('throws nothing but its own error, whatever bytes come', () => {
+	it('throws only LinkError, whatever the bytes', () => {
 		assert(property(uint8Array({maxLength: 200}), bytes => {
 			tryDecode(bytes);
 		}), {numRuns: numberRuns, seed: 2});
 	});
 
-	it('finds each cut or changed message out, or reads a message of the same shape', () => {
+	it('rejects each truncated message, and rejects a changed one or decodes a message of the same shape', () => {
 		const whole = encodeMessage(createPart(3, ['one', 'two']));
 		assert(property(integer({min: 0, max: whole.length - 1}), integer({min: 0, max: 255}), (at, byte) => {
 			expect(tryDecode(whole.slice(0, at)) instanceof LinkError || at === 0, `cut at ${at}`).to.equal(true);
@@ -52,7 +52,7 @@
 		}), {numRuns: numberRuns, seed: 3});
 	});
 
-	it('refuses fields of another type', () => {
+	it('rejects fields of another type', () => {
 		const field = constantFrom('request', 'attempt', 'sequence', 'event');
 		assert(property(field, record({wrong: json()}), (name, {wrong}) => {
 			const bytes = packr.pack({...createPart(1, ['x']), [name]: {wrong}});
@@ -60,14 +60,14 @@
 		}), {numRuns: numberRuns, seed: 4});
 	});
 
-	it('refuses a message that is too large before it is sent', () => {
+	it('rejects a message that is too large before it is sent', () => {
 		const chunk = new Uint8Array(maxMessageBytes);
 		expect(() => encodeMessage({
 			kind: 'part', request: 'r', attempt: 1, sequence: 0, event: {kind: 'body', chunk},
 		})).to.throw(LinkError).with.property('code', 'too-large');
 	});
 
-	it('names the kind that it does not know', () => {
+	it('names the unknown kind in the error', () => {
 		expect(() => decodeMessage(packr.pack({kind: 'later'}))).to.throw(LinkError, 'later').with.property('code', 'unknown-kind');
 		expect(() => decodeMessage(packr.pack({kind: 7}))).to.throw(LinkError).with.property('code', 'malformed');
 		expect(() => decodeMessage(packr.pack('text'))).to.throw(LinkError).with.property('code', 'malformed');
--- a/packages/link/__tests__/fixtures.ts
+++ b/packages/link/__tests__/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Fixtures of the link's tests: a server, a client and a relay between them that can lose track of a connection.
+ * Fixtures of the link tests: a server, a client, and a relay between them that can silently stop forwarding on its open connections.
  */
 import {createServer as createHttpServer} from 'node:http';
 import {
@@ -17,10 +17,10 @@
 	return `127.0.0.1:${(server.address() as AddressInfo).port}`;
 }
 
-/** Waits for I/O, without timers, until the condition holds; the test's own limit bounds it. */
+/** Waits, without timers, until the condition holds; bounded by the timeout of the test. */
 export async function waitUntil(holds: () => boolean): Promise<void> {
 	while (!holds()) {
-		// Each turn waits for the one before.
+		// Each iteration waits for the previous one.
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise<void>(resolve => {
 			setImmediate(resolve);
@@ -28,7 +28,7 @@
 	}
 }
 
-/** An accepting end that echoes each message. */
+/** Creates a server that echoes each message. */
 export async function createEcho(identity: Identity, limits?: Partial<LinkLimits>) {
 	const http = createHttpServer();
 	const echo = {
@@ -70,7 +70,7 @@
 	return echo;
 }
 
-/** An opening end that notes what it hears. */
+/** Creates a client that records its events and messages. */
 export function createCaller(address: string, identity: Identity, limits?: Partial<LinkLimits>) {
 	const caller = {
 		ups: 0,
@@ -95,7 +95,7 @@
 	return Object.assign(caller, {client});
 }
 
-/** Passes bytes on until it forgets a connection: that one goes silent without being closed, new ones work. */
+/** Creates a relay that forwards bytes. After `forgetAll` its open connections are silent without being closed; new ones work. */
 export async function createRelay(target: string) {
 	const [host, port] = target.split(':');
 	const sockets = new Set<Socket>();
--- a/packages/link/__tests__/link.spec.ts
+++ b/packages/link/__tests__/link.spec.ts
@@ -15,7 +15,7 @@
 const agent: Identity = {name: 'agent-1', keys: ['k1']};
 const digest: Message = {kind: 'digest', configurationVersion: 7};
 
-/** A peer that speaks by hand: sends what the test gives it once it has the challenge. */
+/** Opens a raw peer that sends the frames that `respond` returns for the challenge. */
 async function speakRaw(address: string, respond: (challenge: Extract<Message, {kind: 'challenge'}>) => Uint8Array[]): Promise<WebSocket> {
 	const socket = new WebSocket(`ws://${address}${linkPath}`);
 	await new Promise<void>(resolve => {
@@ -71,7 +71,7 @@
 		}
 	});
 
-	it('carries messages there and back in order, many to a frame', async () => {
+	it('delivers messages in order in both directions, many in a frame', async () => {
 		const echo = await openEcho(agent);
 		const caller = openCaller(echo.address, entry);
 		await waitUntil(() => caller.ups === 1);
@@ -91,7 +91,7 @@
 		expect(echo.rejected).to.deep.equal([]);
 	});
 
-	it('takes replaced keys at the next handshake, without a restart', async () => {
+	it('uses replaced keys from the next handshake, without a restart', async () => {
 		let keys: [string, ...string[]] = ['k1'];
 		const echo = await openEcho({name: 'agent-1', keys: () => keys});
 		const first = openCaller(echo.address, entry);
@@ -102,10 +102,10 @@
 		const late = openCaller(echo.address, {name: 'entry-3', keys: ['k1']});
 		await waitUntil(() => late.downs.length > 0);
 		expect(echo.rejected.map(({code}) => code)).to.deep.equal(['unauthorized']);
-		expect(first.client.isUp, 'a link that is up stays up').to.equal(true);
+		expect(first.client.isUp, 'an open link stays open').to.equal(true);
 	});
 
-	it('refuses a peer with a wrong key', async () => {
+	it('rejects a peer with a wrong key', async () => {
 		const echo = await openEcho(agent);
 		const caller = openCaller(echo.address, {name: 'entry-1', keys: ['wrong']});
 		await waitUntil(() => caller.downs.length === 1);
@@ -113,7 +113,7 @@
 		expect(echo.links).to.deep.equal([]);
 	});
 
-	it('does not trust an accepting end without the key', async () => {
+	it('does not trust a server without the key', async () => {
 		const impostor = new WebSocketServer({host: '127.0.0.1', port: 0, path: linkPath});
 		closers.push(() => {
 			impostor.close();
@@ -133,7 +133,7 @@
 		expect(caller.ups).to.equal(0);
 	});
 
-	it('refuses a replayed hello', async () => {
+	it('rejects a replayed hello', async () => {
 		const echo = await openEcho(agent);
 		let hello: Uint8Array | undefined;
 		await openRaw(echo.address, ({nonce}) => {
@@ -147,28 +147,28 @@
 		expect(echo.links).to.have.lengthOf(1);
 	});
 
-	it('refuses another version of the protocol', async () => {
+	it('rejects another version of the protocol', async () => {
 		const echo = await openEcho(agent);
 		await openRaw(echo.address, ({nonce}) => [createHello(nonce, 'k1', protocolVersion + 1)]);
 		await waitUntil(() => echo.rejected.length === 1);
 		expect(echo.rejected[0]!.code).to.equal('protocol');
 	});
 
-	it('refuses any message before the hello', async () => {
+	it('rejects any message before the hello', async () => {
 		const echo = await openEcho(agent);
 		await openRaw(echo.address, () => [encodeMessage(digest)]);
 		await waitUntil(() => echo.rejected.length === 1);
 		expect(echo.received).to.deep.equal([]);
 	});
 
-	it('cuts off a stranger that sends more than a hello', async () => {
+	it('disconnects an unauthenticated peer that sends more than a hello', async () => {
 		const echo = await openEcho(agent);
 		await openRaw(echo.address, () => [new Uint8Array(1024 * 1024)]);
 		await waitUntil(() => echo.rejected.length === 1);
 		expect(echo.rejected[0]!.code).to.equal('closed');
 	});
 
-	it('drops and reports a message of an unknown kind, and goes on', async () => {
+	it('drops and reports a message of an unknown kind, and continues', async () => {
 		const echo = await openEcho(agent);
 		await openRaw(echo.address, ({nonce}) => [createHello(nonce), new Packr({useRecords: false}).pack({kind: 'added-later'}), encodeMessage(digest)]);
 		await waitUntil(() => echo.received.length === 1);
@@ -185,7 +185,7 @@
 		expect(echo.received).to.deep.equal([]);
 	});
 
-	it('closes a link whose peer does not read, before what waits grows without bound', async () => {
+	it('closes a link whose peer does not read, before the unsent data exceeds its limit', async () => {
 		const maxBufferedBytes = 4 * 1024 * 1024;
 		const echo = await openEcho(agent, {maxBufferedBytes});
 		const raw = await openRaw(echo.address, ({nonce}) => [createHello(nonce)]);
@@ -195,24 +195,24 @@
 		const chunk: Message = {
 			kind: 'part', request: 'r', attempt: 1, sequence: 0, event: {kind: 'body', chunk: new Uint8Array(256 * 1024)},
 		};
-		let mostWaiting = 0;
+		let maxUnsentBytes = 0;
 		await waitUntil(() => {
-			mostWaiting = Math.max(mostWaiting, link.bufferedBytes);
+			maxUnsentBytes = Math.max(maxUnsentBytes, link.bufferedBytes);
 			link.send(chunk);
 			return link.isClosed;
 		});
 		expect(echo.closed[0]!.code).to.equal('slow-reader');
-		expect(mostWaiting).to.be.at.most(maxBufferedBytes);
+		expect(maxUnsentBytes).to.be.at.most(maxBufferedBytes);
 	});
 
-	it('takes an address that can not be dialled for a link that is down, and stays calm when closed', async () => {
+	it('treats an invalid address as a link that is down', async () => {
 		const caller = openCaller('no address at all', entry);
 		await waitUntil(() => caller.downs.length === 1);
 		expect(caller.downs[0]?.code).to.equal('protocol');
 		expect(caller.client.isUp).to.equal(false);
 	});
 
-	it('does not come up once it was closed during its handshake', async () => {
+	it('does not open a link that was closed during its handshake', async () => {
 		const echo = await openEcho(agent);
 		const caller = openCaller(echo.address, entry);
 		caller.client.close();
@@ -221,7 +221,7 @@
 		expect(caller.client.isUp).to.equal(false);
 	});
 
-	it('ends in order: all that was sent arrives first', async () => {
+	it('delivers all sent messages before it ends', async () => {
 		const echo = await openEcho(agent);
 		const caller = openCaller(echo.address, entry);
 		await waitUntil(() => echo.links.length === 1 && caller.ups === 1);
@@ -234,14 +234,14 @@
 		await link.end();
 		await waitUntil(() => caller.downs.length > 0);
 		expect(caller.received).to.deep.equal(sent);
-		expect(caller.downs, 'which is no failure').to.deep.equal([undefined]);
+		expect(caller.downs, 'a graceful end is not a failure').to.deep.equal([undefined]);
 	});
 
-	describe('under a paused clock', () => {
+	describe('with a fake clock', () => {
 		let clock: Clock;
 
 		beforeEach(() => {
-			// I/O stays real, so `setImmediate` and `nextTick` do too.
+			// I/O is real, so `setImmediate` and `nextTick` must be real too.
 			clock = install({toFake: ['setTimeout', 'clearTimeout', 'setInterval', 'clearInterval', 'performance']});
 		});
 
@@ -249,15 +249,15 @@
 			clock.uninstall();
 		});
 
-		/** Lets a heartbeat go there and back. */
-		async function beat(caller: ReturnType<typeof createCaller>): Promise<void> {
+		/** Advances the clock by a heartbeat and waits for a message to be echoed. */
+		async function passHeartbeat(caller: ReturnType<typeof createCaller>): Promise<void> {
 			clock.tick(1000);
 			const count = caller.received.length;
 			caller.client.send(digest);
 			await waitUntil(() => caller.received.length > count);
 		}
 
-		it('detects that a link has gone silent, at both ends, and replaces it', async () => {
+		it('detects a silent link on both sides and replaces it', async () => {
 			const echo = await openEcho(agent);
 			const relay = await createRelay(echo.address);
 			closers.push(() => {
@@ -266,24 +266,24 @@
 			const caller = openCaller(relay.address, entry);
 			await waitUntil(() => caller.ups === 1 && echo.links.length === 1);
 			for (let beats = 0; beats < 6; beats += 1) {
-				// Beats follow one another.
+				// Each heartbeat waits for the previous one.
 				// eslint-disable-next-line no-await-in-loop
-				await beat(caller);
+				await passHeartbeat(caller);
 			}
 
-			expect(caller.downs, 'a link that is heard stays').to.deep.equal([]);
+			expect(caller.downs, 'a link that receives heartbeats stays open').to.deep.equal([]);
 			relay.forgetAll();
 			clock.tick(3000);
-			expect(caller.downs, 'three beats are not too many').to.deep.equal([]);
+			expect(caller.downs, 'three missed heartbeats are within the limit').to.deep.equal([]);
 			clock.tick(1000);
 			expect(caller.downs.map(error => error?.code)).to.deep.equal(['silent']);
 			expect(echo.closed.map(error => error?.code)).to.deep.equal(['silent']);
 			clock.tick(200);
 			await waitUntil(() => caller.ups === 2);
-			await beat(caller);
+			await passHeartbeat(caller);
 		});
 
-		it('does not hold a connection that never says hello', async () => {
+		it('closes a connection that never sends a hello', async () => {
 			const echo = await openEcho(agent);
 			const socket = new WebSocket(`ws://${echo.address}${linkPath}`);
 			await new Promise(resolve => {
@@ -294,13 +294,13 @@
 			expect(echo.rejected[0]!.code).to.equal('silent');
 		});
 
-		it('waits longer before each redial, and dials no more once closed', async () => {
+		it('waits longer before each reconnect, and does not reconnect once closed', async () => {
 			const echo = await openEcho({name: 'agent-1', keys: ['other']});
 			const caller = openCaller(echo.address, entry);
 			const waits: number[] = [];
 			const isWaiting = () => caller.downs.length === waits.length + 1 && clock.countTimers() === 1;
 			while (waits.length < 8) {
-				// Dials follow one another.
+				// Each attempt waits for the previous one.
 				// eslint-disable-next-line no-await-in-loop
 				await waitUntil(isWaiting);
 				const before = clock.now;
@@ -319,7 +319,7 @@
 		});
 	});
 
-	it('answers nothing to a peer that does not speak its protocol', async () => {
+	it('opens no link for a peer that does not speak HTTP', async () => {
 		const echo = await openEcho(agent);
 		const [host, port] = echo.address.split(':');
 		const socket = connect(Number(port), host);
--- a/packages/link/__tests__/messages.bench.ts
+++ b/packages/link/__tests__/messages.bench.ts
@@ -1,6 +1,6 @@
 /**
- * `npx tsx packages/link/__tests__/messages.bench.ts`: bytes and time of each kind of message, and messages
- * a second over one link on loopback, sent in one turn (a frame of many) and one by one.
+ * Measures the size and the encoding and decoding time of messages, and the throughput of one link on loopback in messages per second, by the
+ * number of messages sent in one iteration of the event loop. Run by `npx tsx packages/link/__tests__/messages.bench.ts`.
  */
 import {createServer} from 'node:http';
 import type {AddressInfo} from 'node:net';
@@ -10,10 +10,10 @@
 	decodeMessage, encodeMessage, LinkClient, LinkServer, type Link, type Message,
 } from '../src/index.js';
 
-/** Repeats of each coding; a tenth of a second or so each. */
+/** Number of times that each message is encoded and decoded; about a tenth of a second each. */
 const repeats = 50_000;
 
-/** Messages sent over the link in each run. */
+/** Number of messages sent over the link in each run. */
 const sends = 100_000;
 
 const request = '01890a5d-ac96-774b-bcce-b302099a8057';
@@ -68,7 +68,7 @@
 	},
 };
 
-/** Microseconds a run, the first tenth left out. */
+/** Returns the microseconds per run, measured after a warm-up of a tenth of the runs. */
 function measure(run: () => void): number {
 	for (let index = 0; index < repeats / 10; index += 1) {
 		run();
@@ -119,7 +119,7 @@
 			client!.send(createPart(sent + index, 1));
 		}
 
-		// Each turn waits for the one before.
+		// Each iteration waits for the previous one.
 		// eslint-disable-next-line no-await-in-loop
 		await new Promise(resolve => {
 			setImmediate(resolve);
@@ -146,7 +146,7 @@
 }
 
 for (const perTurn of [1, 10, 100]) {
-	// Runs follow one another.
+	// Each run waits for the previous one, so that they do not disturb each other.
 	// eslint-disable-next-line no-await-in-loop
 	const perSecond = await measureSends(perTurn);
 	process.stdout.write(`link, ${perTurn} messages a turn, both ends in this process: ${Math.round(perSecond)} messages/s\n`);
--- a/packages/link/src/client.ts
+++ b/packages/link/src/client.ts
@@ -1,5 +1,5 @@
 /**
- * The opening end of a link: dials, and dials again whenever the link is lost.
+ * The client side of a link: connects, and reconnects with backoff whenever the link is lost.
  */
 import {WebSocket} from 'ws';
 import type {Random} from '@wasabiusher/shared';
@@ -13,20 +13,20 @@
 import {linkPath} from './server.js';
 
 export type LinkClientOptions = {
-	/** `ip:port` of the accepting end. */
+	/** `ip:port` of the server. */
 	address: string;
 	identity: Identity;
-	/** Spreads redials, so that many processes do not dial at once. */
+	/** Adds jitter to reconnects, so that many processes do not connect at the same time. */
 	random: Random;
 	limits?: Partial<LinkLimits>;
 	onUp(peer: string): void;
 	onDown(error?: LinkError): void;
 	onMessage(message: Message): void;
-	/** A message of an unknown kind came and was dropped. */
+	/** Called when a message of an unknown kind was received and dropped. */
 	onUnknown?(error: LinkError): void;
 };
 
-/** Keeps one link open until it is closed on purpose. */
+/** Keeps one link open until `close` is called. */
 export class LinkClient {
 	readonly #options: LinkClientOptions;
 	#link: Link | undefined;
@@ -47,7 +47,7 @@
 		return this.#link !== undefined;
 	}
 
-	/** Sends if the link is up; false if it is not. */
+	/** Sends the message if the link is up; returns whether it is. */
 	send(message: Message): boolean {
 		this.#link?.send(message);
 		return this.#link !== undefined;
@@ -60,7 +60,7 @@
 		this.#socket?.terminate();
 	}
 
-	/** Never rejects: an address that can't be dialled is a link that is down. */
+	/** Never rejects: an address that can't be connected to is treated as a link that is down. */
 	async #dial(): Promise<void> {
 		const {address, identity} = this.#options;
 		try {
@@ -82,7 +82,7 @@
 		const upAt = performance.now();
 		const onClose = (error?: LinkError) => {
 			this.#link = undefined;
-			// A link that falls at once is no reason to dial without a pause.
+			// The backoff is only reset by a link that lasted, so that links that fail at once do not cause reconnects without a pause.
 			if (performance.now() - upAt >= this.#limits.maxRedialMs) {
 				this.#redialMs = this.#limits.firstRedialMs;
 			}
--- a/packages/link/src/codec.ts
+++ b/packages/link/src/codec.ts
@@ -1,26 +1,24 @@
 /**
- * Encoding of messages: msgpackr, checked by schema on arrival.
+ * Encoding of messages with msgpackr; received messages are validated against their schema.
  *
- * A frame carries one message or several after one another, so that what is sent in
- * the same turn of the event loop costs one write to the network.
+ * A frame holds one or more messages, so that messages sent in the same iteration of the event loop take a single network write.
  */
 import {Packr} from 'msgpackr';
 import {LinkError} from './errors.js';
 import {isMessageKind, messageKindsSchema, type Message} from './messages.js';
 
 /**
- * Greatest encoded message, in bytes. A request body of 8 MiB (the entry's limit)
- * and its envelope fit.
+ * Maximum size of an encoded message, in bytes. A request body of 8 MiB (the entry's limit) and its envelope fit.
  */
 export const maxMessageBytes = 9 * 1024 * 1024;
 
-/** Size at which a frame is sent without waiting for more messages, in bytes: a few writes of a socket. */
+/** Size from which a frame is sent without waiting for more messages, in bytes; a few socket writes. */
 export const fullFrameBytes = 64 * 1024;
 
-/** Greatest frame, in bytes: one that was almost full and then took the greatest message. */
+/** Maximum size of a frame, in bytes: an almost full frame plus a message of the maximum size. */
 export const maxFrameBytes = fullFrameBytes + maxMessageBytes;
 
-// Plain maps, not shared record structures: any peer decodes any message alone, in any order.
+// Plain maps instead of shared record structures, so that a peer can decode each message independently of the others.
 const packr = new Packr({useRecords: false});
 
 /** Encodes a message; throws `LinkError` (`too-large`). */
@@ -33,7 +31,7 @@
 	return bytes;
 }
 
-/** Decodes and checks a frame of exactly one message; throws `LinkError`. */
+/** Decodes and validates a frame of exactly one message; throws `LinkError`. */
 export function decodeMessage(frame: Uint8Array): Message {
 	const values = unpackFrame(frame);
 	if (values.length !== 1) {
@@ -43,7 +41,7 @@
 	return checkMessage(values[0]);
 }
 
-/** Splits a frame into values that `checkMessage` makes messages of; throws `LinkError` (`malformed` or `too-large`). */
+/** Splits a frame into decoded values, to be validated by `checkMessage`; throws `LinkError` (`malformed` or `too-large`). */
 export function unpackFrame(frame: Uint8Array): unknown[] {
 	if (frame.length > maxFrameBytes) {
 		throw new LinkError('too-large', `frame has ${frame.length} bytes, expected at most ${maxFrameBytes}`);
@@ -55,13 +53,13 @@
 			values.push(value);
 		});
 	} catch (error) {
-		throw new LinkError('malformed', 'frame can not be decoded', error);
+		throw new LinkError('malformed', 'expected a frame of msgpack values, decoding failed', error);
 	}
 
 	return values;
 }
 
-/** Checks a decoded value; throws `LinkError` (`unknown-kind` or `malformed`). */
+/** Validates a decoded value; throws `LinkError` (`unknown-kind` or `malformed`). */
 export function checkMessage(value: unknown): Message {
 	const parsed = messageKindsSchema.safeParse(value);
 	if (parsed.success) {
@@ -70,7 +68,7 @@
 
 	const kind = findKind(value);
 	if (kind !== undefined && !isMessageKind(kind)) {
-		throw new LinkError('unknown-kind', `message has kind ${kind.slice(0, 40)}, which this version does not know`);
+		throw new LinkError('unknown-kind', `message has kind ${kind.slice(0, 40)}, which this version does not support`);
 	}
 
 	const issue = parsed.error.issues[0]!;
--- a/packages/link/src/handshake.ts
+++ b/packages/link/src/handshake.ts
@@ -1,5 +1,5 @@
 /**
- * The handshake of a link, at both ends: challenge, hello, welcome.
+ * The handshake of a link, for both sides: challenge, hello, welcome.
  */
 import type {WebSocket} from 'ws';
 import {decodeMessage, encodeMessage} from './codec.js';
@@ -10,10 +10,10 @@
 } from './messages.js';
 import {createNonce, createProof, findProvingKey} from './proof.js';
 
-/** The keys that hold: the first proves, all of them verify. */
+/** The valid keys: the first one signs own proofs, all of them verify proofs of peers. */
 export type LinkKeys = readonly [string, ...string[]];
 
-/** Who we are and which keys hold; a function is asked at each handshake, so that keys change without a restart. */
+/** Name and valid keys of this process; a function is called at each handshake, so that keys can change without a restart. */
 export type Identity = {
 	name: string;
 	keys: LinkKeys | (() => LinkKeys);
@@ -30,7 +30,7 @@
 async function receiveOne<Kind extends MessageKind>(inbox: Inbox, kind: Kind, handshakeMs: number): Promise<MessageOf<Kind>> {
 	const message = decodeMessage(await inbox.next(handshakeMs));
 	if (!isKind(message, kind)) {
-		throw new LinkError('protocol', `expected ${kind}, got ${message.kind}`);
+		throw new LinkError('protocol', `expected message ${kind}, got ${message.kind}`);
 	}
 
 	return message;
@@ -38,20 +38,20 @@
 
 function checkProtocol(protocol: number): void {
 	if (protocol !== protocolVersion) {
-		throw new LinkError('protocol', `peer speaks protocol ${protocol}, expected ${protocolVersion}`);
+		throw new LinkError('protocol', `peer uses protocol version ${protocol}, expected ${protocolVersion}`);
 	}
 }
 
-function checkProof(isProved: boolean, sender: string): void {
-	if (!isProved) {
-		throw new LinkError('unauthorized', `${sender} has not proved that it holds a valid key`);
+function checkProof(isValid: boolean, sender: string): void {
+	if (!isValid) {
+		throw new LinkError('unauthorized', `expected a proof of ${sender} with a valid key; none of the valid keys matches`);
 	}
 }
 
 /**
- * Accepts a link; returns the peer's proven name. Throws `LinkError`.
+ * Performs the server side of the handshake; returns the authenticated name of the peer. Throws `LinkError`.
  *
- * @param handshakeMs - longest wait for each message, in milliseconds
+ * @param handshakeMs - maximum wait for each message, in milliseconds
  */
 export async function acceptHandshake(socket: WebSocket, inbox: Inbox, identity: Identity, handshakeMs: number): Promise<string> {
 	const {name} = identity;
@@ -69,9 +69,9 @@
 }
 
 /**
- * Opens a link; returns the peer's proven name. Throws `LinkError`.
+ * Performs the client side of the handshake; returns the authenticated name of the peer. Throws `LinkError`.
  *
- * @param handshakeMs - longest wait for each message, in milliseconds
+ * @param handshakeMs - maximum wait for each message, in milliseconds
  */
 export async function offerHandshake(socket: WebSocket, inbox: Inbox, identity: Identity, handshakeMs: number): Promise<string> {
 	const {name} = identity;
--- a/packages/link/src/inbox.ts
+++ b/packages/link/src/inbox.ts
@@ -1,24 +1,24 @@
 /**
- * Holds what arrives on a socket until somebody takes it.
+ * Buffers the messages of a socket until a receiver is connected.
  *
- * Several messages may arrive in one piece of network data; without this, those that
- * follow the last message of a handshake would find no listener and be lost.
+ * Several messages may arrive in one chunk of network data. Without the buffer, messages that directly follow the last one of the handshake
+ * would be lost, because their listener is not attached yet.
  */
 import type {WebSocket} from 'ws';
 import {LinkError} from './errors.js';
 
-/** Takes one whole message. */
+/** Receives one complete frame. */
 export type Receiver = (data: Uint8Array) => void;
 
-type Waiter = {
+type PendingRead = {
 	resolve(data: Uint8Array): void;
 	reject(error: LinkError): void;
 };
 
-/** The messages of one socket, in order. */
+/** The received frames of one socket, in order. */
 export class Inbox {
-	#held: Uint8Array[] = [];
-	#waiter: Waiter | undefined;
+	#buffered: Uint8Array[] = [];
+	#pendingRead: PendingRead | undefined;
 	#receiver: Receiver | undefined;
 	#error: LinkError | undefined;
 
@@ -35,11 +35,11 @@
 		});
 	}
 
-	/** The next message; throws `LinkError` if the socket ends or the time passes first. */
+	/** Resolves to the next frame; throws `LinkError` (`closed` or `silent`) if the socket closes or the timeout, in milliseconds, expires first. */
 	async next(timeoutMs: number): Promise<Uint8Array> {
-		const held = this.#held.shift();
-		if (held) {
-			return held;
+		const buffered = this.#buffered.shift();
+		if (buffered) {
+			return buffered;
 		}
 
 		if (this.#error) {
@@ -48,10 +48,10 @@
 
 		return new Promise((resolve, reject) => {
 			const timer = setTimeout(() => {
-				this.#waiter = undefined;
-				reject(new LinkError('silent', `nothing heard within ${timeoutMs} ms`));
+				this.#pendingRead = undefined;
+				reject(new LinkError('silent', `expected a message within ${timeoutMs} ms, received none`));
 			}, timeoutMs);
-			this.#waiter = {
+			this.#pendingRead = {
 				resolve(data) {
 					clearTimeout(timer);
 					resolve(data);
@@ -64,32 +64,32 @@
 		});
 	}
 
-	/** Hands over what is held and all that comes. */
+	/** Delivers the buffered frames to the receiver, and all later ones as they arrive. */
 	connect(receiver: Receiver): void {
 		this.#receiver = receiver;
-		const held = this.#held;
-		this.#held = [];
-		for (const data of held) {
+		const buffered = this.#buffered;
+		this.#buffered = [];
+		for (const data of buffered) {
 			receiver(data);
 		}
 	}
 
 	#accept(data: Uint8Array): void {
-		const waiter = this.#waiter;
-		this.#waiter = undefined;
+		const pendingRead = this.#pendingRead;
+		this.#pendingRead = undefined;
 		if (this.#receiver) {
 			this.#receiver(data);
-		} else if (waiter) {
-			waiter.resolve(data);
+		} else if (pendingRead) {
+			pendingRead.resolve(data);
 		} else {
-			this.#held.push(data);
+			this.#buffered.push(data);
 		}
 	}
 
 	#fail(error: LinkError): void {
 		this.#error ??= error;
-		this.#waiter?.reject(error);
-		this.#waiter = undefined;
+		this.#pendingRead?.reject(error);
+		this.#pendingRead = undefined;
 	}
 }
 
@@ -98,5 +98,5 @@
 		return data;
 	}
 
-	throw new LinkError('malformed', 'expected one binary message');
+	throw new LinkError('malformed', 'expected the data of a WebSocket message as one Uint8Array, got another type');
 }
--- a/packages/link/src/index.ts
+++ b/packages/link/src/index.ts
@@ -1,4 +1,4 @@
-/** Links between the system's own processes: typed messages over ws and msgpackr. */
+/** Links between the processes of this project: typed messages over WebSocket (ws), encoded with msgpackr. */
 export * from './client.js';
 export * from './codec.js';
 export * from './errors.js';
--- a/packages/link/src/limits.ts
+++ b/packages/link/src/limits.ts
@@ -3,29 +3,29 @@
  */
 
 export type LinkLimits = {
-	/** How often a ping is sent, in milliseconds. */
+	/** Interval between pings, in milliseconds. */
 	heartbeatMs: number;
-	/** Heartbeats without any sign of life after which a link counts as silent. */
+	/** Number of heartbeat intervals without any received data after which a link counts as silent. */
 	missedHeartbeats: number;
-	/** Most bytes that may wait for a peer that reads slowly. */
+	/** Maximum number of unsent bytes for a peer that reads slowly. */
 	maxBufferedBytes: number;
-	/** Longest handshake, in milliseconds. */
+	/** Maximum wait for each message of the handshake, in milliseconds. */
 	handshakeMs: number;
-	/** Longest wait for the other end when a link is ended in order, in milliseconds. */
+	/** Maximum wait for the peer when a link is ended gracefully, in milliseconds. */
 	endMs: number;
-	/** First wait before dialling again, in milliseconds; doubled up to `maxRedialMs`. */
+	/** Initial backoff before a reconnect, in milliseconds; doubled up to `maxRedialMs`. */
 	firstRedialMs: number;
-	/** Greatest wait before dialling again, in milliseconds. */
+	/** Maximum backoff before a reconnect without its jitter, in milliseconds. */
 	maxRedialMs: number;
 };
 
 /**
- * - A heartbeat each second is small beside the deadlines of interactive calls and costs 29 bytes each way.
- * - One heartbeat may be late, three are not; a silent link is replaced within 4 s.
- * - Two of the greatest messages may wait; the windows of the answers bound what follows them.
- * - A peer that needs 5 s for three messages is as good as gone.
- * - What waits for a peer that reads is read in less than 2 s.
- * - A host that comes back is in use within 3 s (the greatest wait and its jitter).
+ * - Heartbeat: a second is short compared to the deadlines of interactive calls, and a ping costs 29 bytes in each direction.
+ * - Missed heartbeats: a single heartbeat may be late, three in a row are a failure; a silent link is replaced within 4 s.
+ * - Buffered bytes: two messages of the maximum size may wait; the windows of the answers bound everything else.
+ * - Handshake: a peer that needs 5 s for a message counts as failed.
+ * - End: a peer that reads receives the unsent data in less than 2 s.
+ * - Reconnects: a host that returns is in use within 3 s (the maximum backoff and its jitter).
  */
 export const defaultLinkLimits: Readonly<LinkLimits> = {
 	heartbeatMs: 1000,
--- a/packages/link/src/link.ts
+++ b/packages/link/src/link.ts
@@ -1,6 +1,5 @@
 /**
- * One established link: typed messages, heartbeats, detection of silence and a bound
- * on what waits for a slow reader.
+ * One established link: typed messages, heartbeats, detection of silent peers and a limit on unsent data for slow readers.
  */
 import type {WebSocket} from 'ws';
 import {checkMessage, encodeMessage, unpackFrame} from './codec.js';
@@ -10,32 +9,32 @@
 import type {Message} from './messages.js';
 import {Outbox} from './outbox.js';
 
-/** Status of a connection whose end goes away (RFC 6455, section 7.4.1). */
-const goingAway = 1001;
+/** WebSocket close code of an endpoint that is going away (RFC 6455, section 7.4.1). */
+const goingAwayCode = 1001;
 
-/** What the owner of a link hears of it. */
+/** Callbacks of a link. */
 export type LinkListener = {
 	onMessage(message: Message): void;
-	/** Called once; `error` tells why, if it was not closed on purpose. */
+	/** Called once; `error` is the reason, undefined if either side closed the link intentionally. */
 	onClose(error?: LinkError): void;
-	/** A message of an unknown kind came from a newer peer and was dropped. */
+	/** Called when a message of an unknown kind, sent by a newer peer, was received and dropped. */
 	onUnknown?(error: LinkError): void;
 };
 
-/** What a link is made of. */
+/** Arguments to create a `Link`. */
 export type LinkParts = {
 	socket: WebSocket;
-	/** Of the same socket; what it holds already is delivered once `start` is called. */
+	/** The inbox of the same socket; its buffered messages are delivered when `start` is called. */
 	inbox: Inbox;
-	/** The proven name of the other end. */
+	/** Authenticated name of the peer. */
 	peer: string;
 	listener: LinkListener;
 	limits?: Partial<LinkLimits>;
 };
 
-/** A link over a socket whose handshake is done. */
+/** A link over a socket that has completed its handshake. */
 export class Link {
-	/** Name of the process at the other end, as it has proved it. */
+	/** Authenticated name of the peer process. */
 	readonly peer: string;
 	readonly #socket: WebSocket;
 	readonly #inbox: Inbox;
@@ -43,7 +42,7 @@
 	readonly #limits: LinkLimits;
 	readonly #outbox: Outbox;
 	readonly #timer: NodeJS.Timeout;
-	#lastHeardAt = performance.now();
+	#lastReceivedAt = performance.now();
 	#isClosed = false;
 
 	constructor({
@@ -58,20 +57,20 @@
 			socket.send(frame);
 		});
 		this.#timer = setInterval(() => {
-			this.#beat();
+			this.#sendHeartbeat();
 		}, this.#limits.heartbeatMs);
 		socket.on('close', code => {
-			// A peer that goes away in order is no failure.
-			this.close(code === goingAway ? undefined : new LinkError('closed', `closed by ${peer}`));
+			// A graceful shutdown of the peer is not a failure.
+			this.close(code === goingAwayCode ? undefined : new LinkError('closed', `closed by ${peer}`));
 		});
 		socket.on('error', error => {
 			this.close(new LinkError('closed', error.message, error));
 		});
 	}
 
-	/** Begins to deliver messages; called when the owner is ready for them. */
+	/** Starts the delivery of messages; called when the listener is ready for them. */
 	start(): void {
-		// It may have closed between its handshake and now, when nobody listened.
+		// The socket may have closed after the handshake, before the listener was attached.
 		if (this.#socket.readyState !== this.#socket.OPEN) {
 			this.close(new LinkError('closed', `closed by ${this.peer}`));
 			return;
@@ -82,7 +81,7 @@
 		});
 	}
 
-	/** Bytes accepted by `send` and not yet written to the network. */
+	/** Number of bytes accepted by `send` and not yet written to the network. */
 	get bufferedBytes(): number {
 		return this.#outbox.bytes + this.#socket.bufferedAmount;
 	}
@@ -92,8 +91,8 @@
 	}
 
 	/**
-	 * Sends a message; silently dropped on a closed link, whose owner has been told.
-	 * Throws `LinkError` (`too-large`), which leaves the link as it is.
+	 * Sends a message. On a closed link it is dropped silently, since `onClose` has been called.
+	 * Throws `LinkError` (`too-large`); the link stays open then.
 	 */
 	send(message: Message): void {
 		if (this.#isClosed) {
@@ -103,11 +102,11 @@
 		this.#outbox.push(encodeMessage(message));
 		const {maxBufferedBytes} = this.#limits;
 		if (this.bufferedBytes > maxBufferedBytes) {
-			this.close(new LinkError('slow-reader', `${this.bufferedBytes} bytes wait for ${this.peer}, expected at most ${maxBufferedBytes}`));
+			this.close(new LinkError('slow-reader', `${this.bufferedBytes} bytes unsent to ${this.peer}, expected at most ${maxBufferedBytes}`));
 		}
 	}
 
-	/** Closes at once; a link that has gone silent would never finish a closing handshake. */
+	/** Closes at once, without the closing handshake, which a silent peer would never complete. */
 	close(error?: LinkError): void {
 		if (this.#isClosed) {
 			return;
@@ -120,7 +119,7 @@
 		this.#listener.onClose(error);
 	}
 
-	/** Closes once all that was sent has arrived, or after some seconds; resolves when it is closed. */
+	/** Closes once the peer has received all sent messages, or after `endMs`; resolves when the link is closed. */
 	async end(): Promise<void> {
 		if (this.#isClosed) {
 			return;
@@ -135,16 +134,16 @@
 		const timer = setTimeout(() => {
 			this.close();
 		}, this.#limits.endMs);
-		this.#socket.close(goingAway);
+		this.#socket.close(goingAwayCode);
 		await closed;
 		clearTimeout(timer);
 	}
 
-	#beat(): void {
+	#sendHeartbeat(): void {
 		const {heartbeatMs, missedHeartbeats} = this.#limits;
-		const silentMs = performance.now() - this.#lastHeardAt;
+		const silentMs = performance.now() - this.#lastReceivedAt;
 		if (silentMs > heartbeatMs * missedHeartbeats) {
-			this.close(new LinkError('silent', `nothing heard from ${this.peer} for ${Math.round(silentMs)} ms`));
+			this.close(new LinkError('silent', `nothing received from ${this.peer} for ${Math.round(silentMs)} ms`));
 			return;
 		}
 
@@ -152,13 +151,13 @@
 	}
 
 	#receive(frame: Uint8Array): void {
-		this.#lastHeardAt = performance.now();
+		this.#lastReceivedAt = performance.now();
 		try {
 			for (const value of unpackFrame(frame)) {
 				this.#receiveValue(value);
 			}
 		} catch (error) {
-			// What was missed is asked for again on the next link.
+			// Missed messages are requested again on the next link.
 			this.close(error instanceof LinkError ? error : new LinkError('protocol', String(error), error));
 		}
 	}
@@ -169,13 +168,13 @@
 			return;
 		}
 
-		// Both ends beat, so a beat needs no answer: that it was heard is all it is for.
+		// Both sides send heartbeats, so a ping needs no reply: receiving it has updated `#lastReceivedAt`.
 		if (message.kind !== 'ping') {
 			this.#listener.onMessage(message);
 		}
 	}
 
-	/** A newer peer may send kinds that were added since; what is malformed is a fault. */
+	/** Returns undefined for a message of an unknown kind, which a newer peer may send; throws `LinkError` for a malformed one. */
 	#check(value: unknown): Message | undefined {
 		try {
 			return checkMessage(value);
--- a/packages/link/src/messages.ts
+++ b/packages/link/src/messages.ts
@@ -1,23 +1,22 @@
 /**
- * The messages between entries and agents, each checked by its schema when it arrives.
+ * The messages between entries, agents and hosts; each is validated against its schema when it is received.
  *
- * An attempt of a request is named by both ids in every message about it, and each part
- * of an answer carries its sequence number, so that a late message of another attempt
- * can't enter an answer.
+ * Each message about an attempt carries the ids of the request and of the attempt, and each part of an answer its sequence number, so that
+ * a late message of another attempt can't become part of an answer.
  */
 import {
 	acceptedConfigurationSchema, configurationDeltaSchema, finishReasonSchema, generationPartSchema, generationRequestSchema, priorityClasses, ranSchema,
 } from '@wasabiusher/shared';
 import {z} from 'zod';
 
-/** Raised when an older peer could not understand us; both ends must agree. */
+/** Must be equal on both sides; incremented by changes that older peers can't understand. */
 export const protocolVersion = 1;
 
 const countSchema = z.int().nonnegative();
 const bytesSchema = z.custom<Uint8Array>(value => value instanceof Uint8Array, 'expected bytes');
 const headersSchema = z.record(z.string(), z.string());
 
-/** What is to be run at the endpoint. */
+/** The work to run at the endpoint. */
 export const workSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('generate'), request: generationRequestSchema}),
 	z.object({
@@ -27,7 +26,7 @@
 
 export type Work = z.infer<typeof workSchema>;
 
-/** One event of an answer, in order. `finished` is the explicit end; without it the answer is not whole. */
+/** One event of an answer, sent in order. `finished` is the explicit end; without it the answer is incomplete. */
 export const answerEventSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('head'), status: z.int(), headers: headersSchema}),
 	z.object({kind: z.literal('body'), chunk: bytesSchema}),
@@ -37,63 +36,63 @@
 
 export type AnswerEvent = z.infer<typeof answerEventSchema>;
 
-/** An endpoint as its agent knows it; the entry's routing is built on this. */
+/** The state of an endpoint, reported by its agent; the entry routes requests by it. */
 export const endpointStatusSchema = z.object({
 	service: z.string(),
 	models: z.array(z.object({model: z.string(), version: countSchema})),
 	role: z.string(),
-	/** Requests that the agent lets run at once. */
+	/** Maximum number of concurrent requests that the agent allows. */
 	limit: countSchema,
 	running: countSchema,
-	/** Of them, those told to stop that the endpoint has not confirmed, and those from before the agent started. */
+	/** Running requests whose cancellation the endpoint has not confirmed yet, and those started before the agent. */
 	draining: countSchema.optional(),
-	/** Of them, those of interactive callers. */
+	/** Running requests of interactive callers. */
 	interactive: countSchema.optional(),
 	waiting: countSchema,
-	/** Work waiting, in estimated tokens (or calls, for plain services). */
+	/** Work of the queued requests, in estimated tokens (calls for plain services). */
 	waitingWork: z.number().nonnegative(),
-	/** Work done in a second, of late, in the same unit. */
+	/** Recent throughput, in the same unit per second. */
 	workPerSecond: z.number().nonnegative(),
-	/** Takes no new work. */
+	/** Whether it accepts no new work because it is shutting down. */
 	isLeaving: z.boolean(),
 	isHealthy: z.boolean(),
 	/** Version of the configuration in force at the agent. */
 	configurationVersion: countSchema,
-	/** Highest fencing number seen. */
+	/** Highest fencing token that the agent has received. */
 	fence: countSchema,
 });
 
 export type EndpointStatus = z.infer<typeof endpointStatusSchema>;
 
-/** Why an agent refused; all of them mean that nothing ran. */
+/** Why an agent refused a request; in each case it did not run. */
 export const refusalSchema = z.enum(['leaving', 'overloaded', 'expired', 'cancelled', 'unhealthy', 'quarantined', 'unknown-service', 'not-loaded', 'not-received']);
 
 export type Refusal = z.infer<typeof refusalSchema>;
 
-/** Names one attempt of one request. */
+/** Identifies one attempt of one request. */
 const attemptShape = {request: z.string(), attempt: z.int().positive()};
 
 const orderSchema = z.discriminatedUnion('kind', [
 	z.object({kind: z.literal('load'), model: z.string(), version: countSchema}),
 	z.object({kind: z.literal('unload'), model: z.string()}),
 	z.object({kind: z.literal('role'), role: z.string()}),
-	/** Fetches weights without bringing them into force. */
+	/** Fetches weights without activating them. */
 	z.object({kind: z.literal('prefetch'), model: z.string(), version: countSchema}),
 ]);
 
-/** How long a request, by its content, is suspected; times are left over, as the clocks of hosts differ. */
+/** Crash evidence against requests with the same content. The time is sent as the remaining one because the clocks of hosts differ. */
 export const suspicionSchema = z.object({
 	fingerprint: z.string(),
-	/** `<endpoint>@<incarnation>` of each crash at which it was in flight. */
+	/** `<endpoint>@<incarnation>` of each crash during which the request was in flight. */
 	crashes: z.array(z.string()),
-	/** Those of them that a later finish has cleared it of. */
+	/** The crashes of which a later successful run has cleared the request. */
 	cleared: z.array(z.string()),
 	remainingMs: z.number().nonnegative(),
-	/** Terms of quarantine so far. */
+	/** Number of quarantines so far. */
 	terms: countSchema,
 });
 
-/** A row to be written if it has the version expected; its value carries the attempt id. */
+/** A conditional write of a row, applied if the row has version `expect`; the value contains the attempt id. */
 const commitWriteSchema = z.object({
 	table: z.string(), key: z.string(), expect: countSchema, value: z.looseObject({attempt: z.string()}),
 });
@@ -104,7 +103,7 @@
 	table: z.string(), part: z.string(), from: z.string().optional(), to: z.string().optional(), limit: z.int().optional(),
 });
 
-/** A call to the store that one host makes for another. */
+/** A call to the store that one host makes on behalf of another. */
 export const storeWorkSchema = z.discriminatedUnion('op', [
 	z.object({
 		op: z.literal('commit'),
@@ -118,7 +117,7 @@
 	}),
 ]);
 
-/** What came of such a call; a failure carries the code of the platform layer. */
+/** The result of such a call; a failure has the error code of the platform layer. */
 export const storeAnswerSchema = z.discriminatedUnion('outcome', [
 	z.object({outcome: z.literal('committed'), version: countSchema, storeMs: z.number()}),
 	z.object({
@@ -139,10 +138,10 @@
 export type StoreWork = z.infer<typeof storeWorkSchema>;
 export type StoreAnswer = z.infer<typeof storeAnswerSchema>;
 
-/** Most classes of urgency in one demand. */
+/** Maximum number of urgency classes in one demand. */
 const maxWants = 16;
 
-/** Slots of an endpoint that a host fills and wants. */
+/** The number of slots of an endpoint that a host uses, and its demand for more by urgency. */
 const slotDemandSchema = z.object({
 	endpoint: z.string(),
 	filled: countSchema,
@@ -151,7 +150,7 @@
 	sequence: countSchema,
 });
 
-/** Slots of an endpoint that a host may fill. */
+/** The number of slots of an endpoint that are allocated to a host, for `termMs`. */
 const slotRationSchema = z.object({
 	endpoint: z.string(), slots: countSchema, termMs: z.number().positive(), sequence: countSchema,
 });
@@ -178,26 +177,26 @@
 		class: z.enum(priorityClasses),
 		priority: z.int(),
 		share: z.number().positive(),
-		/** Estimated work in tokens (or 1 for a plain call). */
+		/** Estimated work in tokens; 1 for a plain call. */
 		cost: z.number().positive(),
-		/** What is left of the deadline, in milliseconds; clocks of hosts differ. */
+		/** Time left until the deadline, in milliseconds; relative because the clocks of hosts differ. */
 		remainingMs: z.number(),
 		isIdempotent: z.boolean(),
-		/** Hash of the content, by which poison requests are recognised. */
+		/** Hash of the content, used to recognise poison requests. */
 		fingerprint: z.string(),
-		/** Must run with nothing beside it: it was in flight when an endpoint crashed. */
+		/** Whether the request must run alone because it was in flight when an endpoint crashed. */
 		isSuspect: z.boolean().default(false),
 	}),
 	z.object({kind: z.literal('cancel'), ...attemptShape}),
-	/** Asks for the parts from `next` on, after a link was replaced. */
+	/** Requests the parts from sequence number `next`, after the link was replaced. */
 	z.object({
 		kind: z.literal('resume'),
 		...attemptShape,
 		next: countSchema,
-		/** Time since the attempt was opened, in milliseconds; by it an agent can prove that `open` never arrived. */
+		/** Time since `open` was sent, in milliseconds; the agent uses it to prove that it has never received that message. */
 		sentAgoMs: z.number().nonnegative().optional(),
 	}),
-	/** All parts before `next` have arrived; opens the window and trims the replay buffer. */
+	/** Confirms all parts before `next`; advances the window and trims the replay buffer. */
 	z.object({kind: z.literal('acknowledge'), ...attemptShape, next: countSchema}),
 	z.object({
 		kind: z.literal('order'), order: z.string(), fence: countSchema, body: orderSchema,
@@ -206,7 +205,7 @@
 	z.object({
 		kind: z.literal('refused'), ...attemptShape, reason: refusalSchema, retryAfterMs: z.number().optional(),
 	}),
-	/** The request has left the queue: from here on it may have run. */
+	/** The request has left the queue and may have run from now on. */
 	z.object({kind: z.literal('started'), ...attemptShape}),
 	z.object({
 		kind: z.literal('part'), ...attemptShape, sequence: countSchema, event: answerEventSchema,
@@ -214,37 +213,37 @@
 	z.object({
 		kind: z.literal('failed'), ...attemptShape, ran: ranSchema, reason: z.string(), hasCrashed: z.boolean(),
 	}),
-	/** The endpoint confirmed that a cancelled run has stopped. */
+	/** The endpoint has confirmed that a cancelled run has stopped. */
 	z.object({kind: z.literal('stopped'), ...attemptShape}),
 	z.object({kind: z.literal('status'), status: endpointStatusSchema}),
 	z.object({
 		kind: z.literal('ordered'), order: z.string(), outcome: z.enum(['done', 'fenced', 'failed']), detail: z.string(),
 	}),
-	// Entry to entry: rows of many entries that one of them commits together.
+	// Entry to entry: one entry commits rows of many entries in a batch.
 	z.object({kind: z.literal('commit'), commit: z.string(), write: commitWriteSchema}),
 	z.object({
 		kind: z.literal('committed'),
 		commit: z.string(),
 		outcome: z.enum(['written', 'lost', 'unavailable', 'unknown']),
-		/** With `lost`: the row that came first, if there is one. */
+		/** For `lost`: the existing row that won, if there is one. */
 		row: z.object({key: z.string(), value: z.unknown(), version: countSchema}).optional(),
 	}),
-	// Both ways: what spreads over the links that exist anyway.
+	// Both directions: state that is propagated over existing links.
 	z.object({kind: z.literal('configuration'), accepted: acceptedConfigurationSchema}),
-	/** What changed since a version that the receiver said it has. */
+	/** The changes since the version that the receiver reported. */
 	z.object({kind: z.literal('configuration-delta'), delta: configurationDeltaSchema}),
 	z.object({
 		kind: z.literal('quarantine'), fingerprint: z.string(), untilMs: z.number(), crashes: z.array(z.string()),
 	}),
-	/** What is known of requests that were in flight when an endpoint crashed. */
+	/** Crash evidence against requests that were in flight when an endpoint crashed. */
 	z.object({kind: z.literal('suspicions'), suspicions: z.array(suspicionSchema)}),
-	// Host to host: a call to the store for a host that the store does not serve at present.
+	// Host to host: a call to the store on behalf of a host that can't reach the store at present.
 	z.object({kind: z.literal('store-call'), call: z.string(), work: storeWorkSchema}),
 	z.object({kind: z.literal('store-answer'), call: z.string(), answer: storeAnswerSchema}),
-	// Host to host: slots of an endpoint, from who wants them to the endpoint's home and back.
+	// Host to host: the demand for slots of an endpoint, sent to its coordinator host, and the allocation in return.
 	z.object({kind: z.literal('slot-demand'), demand: slotDemandSchema}),
 	z.object({kind: z.literal('slot-ration'), ration: slotRationSchema}),
-	/** What the sender has, so that the receiver can see a gap and send what is missing. */
+	/** The version that the sender has, so that the receiver can detect missing changes and send them. */
 	z.object({kind: z.literal('digest'), configurationVersion: countSchema}),
 ]);
 
@@ -253,18 +252,18 @@
 
 export type MessageKind = Message['kind'];
 
-/** The message of one kind. */
+/** The message type of one kind. */
 export type MessageOf<Kind extends MessageKind> = Extract<Message, {kind: Kind}>;
 
 const knownKinds: ReadonlySet<string> = new Set(messageKindsSchema.options.map(option => option.shape.kind.value));
 
-/** Whether this version of the protocol knows a kind of message. */
+/** Returns whether this version of the protocol supports a kind of message. */
 export function isMessageKind(kind: string): kind is MessageKind {
 	return knownKinds.has(kind);
 }
 
 /**
- * Parts after which an entry acknowledges at the latest, and always after `finished`.
- * A quarter of the window of an answer, so that a stream is never held up by it.
+ * Maximum number of parts that an entry receives before it acknowledges; it always acknowledges after `finished`.
+ * A quarter of the window of an answer, so that a stream never stalls for want of an acknowledgement.
  */
 export const acknowledgeEvery = 16;
--- a/packages/link/src/outbox.ts
+++ b/packages/link/src/outbox.ts
@@ -1,27 +1,26 @@
 /**
- * Gathers messages that are sent in the same turn of the event loop into one frame.
+ * Batches messages that are sent in the same iteration of the event loop into one frame.
  *
- * Load pattern: hundreds of streams make a message each per token. A write to the
- * network costs several times what encoding a message does, so without this the
- * process spends its time in system calls. Nothing waits for a timer: the frame goes
- * out as soon as the input at hand has been handled.
+ * Load pattern: hundreds of streams send a message per token each. A network write costs several times as much as encoding a message, so
+ * without batching the process spends its time in system calls. No timer is involved: the frame is sent as soon as the pending input has
+ * been processed.
  */
 import {Buffer} from 'node:buffer';
 import {fullFrameBytes} from './codec.js';
 
-/** The messages of one socket that wait for the end of this turn. */
+/** The messages of one socket that will be sent at the end of this iteration of the event loop. */
 export class Outbox {
 	readonly #write: (frame: Uint8Array) => void;
 	#messages: Uint8Array[] = [];
 	#bytes = 0;
 	#immediate: NodeJS.Immediate | undefined;
 
-	/** @param write - sends one frame */
+	/** @param write - writes one frame to the socket */
 	constructor(write: (frame: Uint8Array) => void) {
 		this.#write = write;
 	}
 
-	/** Bytes that wait. */
+	/** Number of bytes that are not sent yet. */
 	get bytes(): number {
 		return this.#bytes;
 	}
@@ -39,7 +38,7 @@
 		});
 	}
 
-	/** Sends what waits, now. */
+	/** Sends the batched messages immediately. */
 	flush(): void {
 		const messages = this.#messages;
 		this.clear();
@@ -48,7 +47,7 @@
 		}
 	}
 
-	/** Drops what waits. */
+	/** Drops the batched messages. */
 	clear(): void {
 		clearImmediate(this.#immediate);
 		this.#immediate = undefined;
--- a/packages/link/src/proof.ts
+++ b/packages/link/src/proof.ts
@@ -1,31 +1,31 @@
 /**
- * Proof that a peer holds the key: a keyed hash over fresh nonces of both ends.
+ * Proof that a peer has a valid key: an HMAC over fresh nonces of both sides.
  */
 import {Buffer} from 'node:buffer';
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
 
-/** 128 bits can't be guessed and do not repeat. */
+/** Nonce size, in bytes; 128 random bits can't be guessed and do not repeat in practice. */
 const nonceBytes = 16;
 
-/** A value used once; a replayed hello fails since the nonce has changed. */
+/** Creates a value that is used once; a replayed hello is rejected because the nonce has changed. */
 export function createNonce(): string {
 	return randomBytes(nonceBytes).toString('hex');
 }
 
-/** What a proof is about: one side of one handshake. */
+/** The content that a proof signs: one side of one handshake. */
 export type Statement = {
 	side: 'hello' | 'welcome';
 	sender: string;
-	/** Of the accepting end, then of the opening end. */
+	/** Nonce of the server, then nonce of the client. */
 	nonces: readonly [string, string];
 };
 
-/** Proves possession of a key. */
+/** Creates the proof of possession of a key, in hexadecimal. */
 export function createProof(key: string, {side, sender, nonces}: Statement): string {
 	return createHmac('sha256', key).update([side, sender, ...nonces].join('\n')).digest('hex');
 }
 
-/** Finds which of the keys valid at present made the proof; undefined if none did. */
+/** Finds the key that the proof was created with; undefined if it is none of the given keys. */
 export function findProvingKey(keys: readonly string[], proof: string, statement: Statement): string | undefined {
 	const given = Buffer.from(proof, 'hex');
 	return keys.find(key => {
--- a/packages/link/src/server.ts
+++ b/packages/link/src/server.ts
@@ -1,5 +1,5 @@
 /**
- * The accepting end of links.
+ * The server side of links.
  */
 import type {IncomingMessage, Server} from 'node:http';
 import {WebSocketServer, type WebSocket} from 'ws';
@@ -10,25 +10,25 @@
 import {defaultLinkLimits, type LinkLimits} from './limits.js';
 import {Link, type LinkListener} from './link.js';
 
-/** Path of links on a server that may have other routes. */
+/** URL path of links, on a server that may have other routes. */
 export const linkPath = '/link';
 
 export type LinkServerOptions = {
 	identity: Identity;
 	limits?: Partial<LinkLimits>;
-	/** Called with each established link; returns who listens to it. */
+	/** Called with each established link; returns its listener. */
 	onLink(link: Link): LinkListener;
-	/** Called with each handshake that failed, to be counted. */
+	/** Called for each failed handshake, so that it can be counted. */
 	onReject(error: LinkError): void;
 };
 
-/** Most bytes that a peer may send before it has proved its key; a hello has some 200. */
+/** Maximum number of bytes that a peer may send before it is authenticated; a hello has about 200. */
 const maxHelloBytes = 4096;
 
-/** Most handshakes at a time; strangers can't make the process hold more than their sockets. */
+/** Maximum number of concurrent handshakes, so that unauthenticated peers can't use up more than their sockets. */
 const maxHandshakes = 256;
 
-/** Accepts links on an HTTP server until that server is closed; `close` ends the open ones. */
+/** Accepts links on an HTTP server until that server is closed; `close` closes the open links. */
 export class LinkServer {
 	readonly #sockets: WebSocketServer;
 	readonly #options: LinkServerOptions;
@@ -51,7 +51,7 @@
 		return this.#links;
 	}
 
-	/** Accepts no more links and ends the open ones once all that was sent has arrived. */
+	/** Ends the open links once their peers have received all sent messages, then stops accepting links. */
 	async end(): Promise<void> {
 		const ended = [...this.#links].map(async link => link.end());
 		await Promise.all(ended);
@@ -76,7 +76,7 @@
 		this.#handshakes += 1;
 		try {
 			if (this.#handshakes > maxHandshakes) {
-				throw new LinkError('protocol', `more than ${maxHandshakes} handshakes at a time`);
+				throw new LinkError('protocol', `expected at most ${maxHandshakes} concurrent handshakes`);
 			}
 
 			const peer = await acceptHandshake(socket, inbox, this.#options.identity, this.#limits.handshakeMs);
@@ -108,13 +108,13 @@
 			socket, inbox, peer, listener, limits: this.#limits,
 		});
 		this.#links.add(link);
-		// The link exists before its listener does, which may send on it at once.
+		// `onLink` may send on the link at once, so the link is created before its listener.
 		listeners.push(this.#options.onLink(link));
 		link.start();
 	}
 }
 
-/** Cuts off a peer that sends too much before its handshake is done; returns how to lift the limit. */
+/** Terminates the socket if the peer sends more than `maxHelloBytes`; returns a function that removes the limit. */
 function limitBytes(socket: WebSocket, {socket: connection}: IncomingMessage): () => void {
 	const start = connection.bytesRead;
 	const check = () => {
