--- a/packages/backends/__tests__/generation-stream.spec.ts
+++ b/packages/backends/__tests__/generation-stream.spec.ts
@@ -24,8 +24,8 @@
 }
 
 function split(bytes: Uint8Array, cuts: number[]): Uint8Array[] {
-	const places = [0, ...cuts.map(cut => cut % (bytes.length + 1)).toSorted((a, b) => a - b), bytes.length];
-	return places.slice(1).map((place, index) => bytes.slice(places[index], place));
+	const positions = [0, ...cuts.map(cut => cut % (bytes.length + 1)).toSorted((a, b) => a - b), bytes.length];
+	return positions.slice(1).map((position, index) => bytes.slice(positions[index], position));
 }
 
 const encode = (text: string) => new TextEncoder().encode(text);
@@ -44,7 +44,7 @@
 }
 
 describe('readGeneration', () => {
-	it('gives the same parts wherever the bytes are split', async () => {
+	it('yields the same parts wherever the bytes are split', async () => {
 		await fc.assert(fc.asyncProperty(partsArbitrary, cutsArbitrary, async (parts, cuts) => {
 			const {events, code} = await collect(split(encode(format(parts)), cuts));
 			expect(code).to.equal('none');
@@ -52,7 +52,7 @@
 		}), {seed: 1});
 	});
 
-	it('never calls a stream finished that was cut off', async () => {
+	it('never reports a truncated stream as finished', async () => {
 		await fc.assert(fc.asyncProperty(partsArbitrary, fc.nat(), async (parts, cut) => {
 			const whole = encode(format(parts));
 			const {events, code} = await collect([whole.slice(0, cut % (whole.length - 1))]);
@@ -61,7 +61,7 @@
 		}), {seed: 2});
 	});
 
-	it('ends in a PlatformError whatever the bytes', async () => {
+	it('throws a PlatformError for malformed input', async () => {
 		const line = fc.oneof(
 			fc.string().map(text => `data: ${text}\n\n`),
 			fc.json().map(text => `data: ${text}\n\n`),
@@ -77,7 +77,7 @@
 		}), {seed: 3});
 	});
 
-	it('refuses an event without an end', async () => {
+	it('rejects an event without an end once it is too long', async () => {
 		const {code} = await collect([encode('data: x'), encode('x'.repeat(2_000_000))]);
 		expect(code).to.equal('invalid');
 	});
--- a/packages/backends/__tests__/http.spec.ts
+++ b/packages/backends/__tests__/http.spec.ts
@@ -34,20 +34,20 @@
 	const servers: Server[] = [];
 	const sockets = new Set<Socket>();
 	let connected = 0;
-	/** The connections on which requests came, by their order of opening. */
-	let asked: number[] = [];
+	/** Numbers of the connections on which requests were received; connections are numbered in the order of their opening. */
+	let requestedOn: number[] = [];
 
-	/** A server that answers each piece of a request by `answer`. */
+	/** Starts a server that calls `answer` for each received chunk. */
 	async function serve(answer: Answer): Promise<string> {
 		connected = 0;
-		asked = [];
+		requestedOn = [];
 		const server = createServer(socket => {
 			connected += 1;
 			const connection = connected;
 			sockets.add(socket);
 			socket.on('error', () => undefined);
 			socket.on('data', () => {
-				asked.push(connection);
+				requestedOn.push(connection);
 				answer(socket, connection);
 			});
 		});
@@ -57,7 +57,7 @@
 		return formatOrigin(server);
 	}
 
-	/** A server that ends its answers a moment after their text. */
+	/** Starts a server that ends its answers some time after their text, by default 1 ms. */
 	async function serveStream(text: string, finish = (end: () => void) => {
 		setTimeout(end, 1);
 	}): Promise<{server: Server; countOpened(): number}> {
@@ -94,7 +94,7 @@
 		origin, method: 'POST', path: '/x', body: {}, timeoutMs,
 	});
 
-	it('tells by the status what is known of the effect', async () => {
+	it('maps the status to an error code', async () => {
 		const expected = {
 			'400 Bad': 'refused',
 			'404 Missing': 'missing',
@@ -107,13 +107,13 @@
 			'504 Late': 'unknown',
 		};
 		for (const [status, code] of Object.entries(expected)) {
-			// One server after the other.
+			// Each server waits for the previous one.
 			// eslint-disable-next-line no-await-in-loop
 			expect(await catchCode(post(await serve(reply(status, 'x')))), status).to.equal(code);
 		}
 	});
 
-	it('proves that nothing was sent when there is no connection', async () => {
+	it('throws unavailable if no connection can be established', async () => {
 		const server = createServer();
 		server.listen(0, '127.0.0.1');
 		await once(server, 'listening');
@@ -123,21 +123,21 @@
 		expect(await catchCode(post(origin))).to.equal('unavailable');
 	});
 
-	it('proves that nothing was sent when it was stopped before', async () => {
+	it('throws unavailable if the call was aborted before it was sent', async () => {
 		const origin = await serve(reply('200 OK', '{}'));
 		const events = new HttpEngine(origin).generate({model: 'm', maxTokens: 1}, {requestId: 'r', priority: 0, signal: AbortSignal.abort()});
 		expect(await catchCode(events[Symbol.asyncIterator]().next())).to.equal('unavailable');
 		expect(connected).to.equal(0);
 	});
 
-	it('does not know the effect when the connection is cut after the request', async () => {
+	it('throws unknown if the connection is closed after the request', async () => {
 		const origin = await serve(socket => {
 			socket.destroy();
 		});
 		expect(await catchCode(post(origin))).to.equal('unknown');
 	});
 
-	it('does not know the effect when no answer comes, and uses a fresh connection for the next call', async () => {
+	it('throws unknown if there is no answer, and uses a new connection for the next call', async () => {
 		const origin = await serve((socket, connection) => {
 			if (connection > 1) {
 				reply('200 OK', '{}')(socket, connection);
@@ -145,10 +145,10 @@
 		});
 		expect(await catchCode(post(origin, 20))).to.equal('unknown');
 		expect(await catchCode(post(origin))).to.equal('none');
-		expect(asked.at(-1)).to.be.greaterThan(1);
+		expect(requestedOn.at(-1)).to.be.greaterThan(1);
 	});
 
-	it('uses none of the connections that are as old as a silent one', async () => {
+	it('does not reuse any open connection of an origin after one has gone silent', async () => {
 		let isSilent = false;
 		const origin = await serve((socket, connection) => {
 			if (!isSilent || connection > 2) {
@@ -160,10 +160,10 @@
 		isSilent = true;
 		expect(await catchCode(post(origin, 20))).to.equal('unknown');
 		expect(await catchCode(post(origin, 2000))).to.equal('none');
-		expect(asked.at(-1)).to.be.greaterThan(2);
+		expect(requestedOn.at(-1)).to.be.greaterThan(2);
 	});
 
-	it('bounds the whole answer, also when it trickles', async () => {
+	it('limits the time of the complete answer, even if data keeps arriving slowly', async () => {
 		const origin = await serve(socket => {
 			socket.write('HTTP/1.1 200 OK\r\ncontent-length: 100000\r\n\r\n');
 			const timer = setInterval(() => {
@@ -178,7 +178,7 @@
 		}))).to.equal('unknown');
 	});
 
-	it('tells an answer of another shape, as unknown for a write', async () => {
+	it('rejects an answer that does not match the schema, as invalid for a read and unknown for a write', async () => {
 		const schema = z.object({versions: z.array(z.int())});
 		const read = {origin: await serve(reply('200 OK', '{"versions":"x"}')), method: 'GET', path: '/'} as const;
 		expect(await catchCode(callJson(schema, read))).to.equal('invalid');
@@ -187,25 +187,25 @@
 		expect(await catchCode(tables.transact([]))).to.equal('unknown');
 	});
 
-	it('fails an order at a path that is not there', async () => {
+	it('throws missing for an order if the path does not exist', async () => {
 		const engine = new HttpEngine(await serve(reply('404 Missing', '')));
 		expect(await catchCode(engine.order({kind: 'role', role: 'any'}, 1))).to.equal('missing');
 	});
 
-	it('uses the connection of a whole stream again', async () => {
+	it('reuses the connection of a complete stream', async () => {
 		const chunk = JSON.stringify({choices: [{text: 'a', finish_reason: 'stop'}], version: 1, tokens: 1});
-		// A comment makes the stream longer than what a short one would show of undici's limits.
+		// A comment makes the stream longer than undici's limit for discarded bodies, which a short stream would not reach.
 		const {server, countOpened} = await serveStream(`: ${'x'.repeat(200_000)}\n\ndata: ${chunk}\n\ndata: [DONE]\n\n`);
 		const engine = new HttpEngine(formatOrigin(server));
 		const run = async () => {
 			const events = engine.generate({model: 'm', maxTokens: 1}, {requestId: 'r', priority: 0, signal: new AbortController().signal})[Symbol.asyncIterator]();
 			const part = await events.next();
-			// As the agents do, this reader does not come back after the terminal event.
+			// Like the agents, this reader does not request another event after the terminal one.
 			const finished = await events.next();
 			return [part, finished].map(({value}) => (value as GenerationEvent).kind);
 		};
 
-		// The server ends the answer a moment after the terminal event; undici tells when its end was read.
+		// The server ends the answer some time after the terminal event; undici reports when it has read the end.
 		const isRead = new Promise<void>(resolve => {
 			const onEnd = () => {
 				unsubscribe('undici:request:trailers', onEnd);
@@ -216,7 +216,7 @@
 		});
 		expect(await run()).to.deep.equal(['part', 'finished']);
 		await isRead;
-		// The connection is free once the turn in which its end was read is over.
+		// The connection is free after the iteration of the event loop in which the end was read.
 		await new Promise<void>(resolve => {
 			setImmediate(resolve);
 		});
@@ -224,7 +224,7 @@
 		expect(countOpened()).to.equal(1);
 	});
 
-	it('does not cut a long stream whose end comes after its terminal event was read', async () => {
+	it('does not abort a long stream that ends after its terminal event was read', async () => {
 		const chunk = JSON.stringify({choices: [{text: 'a', finish_reason: 'stop'}], version: 1, tokens: 1});
 		let isCut = false;
 		let end: (() => void) | undefined;
@@ -250,7 +250,7 @@
 			}
 		}
 
-		// Turns in which a cut would have been made.
+		// Waits for an iteration of the event loop, in which the stream would have been aborted.
 		await new Promise<void>(resolve => {
 			setImmediate(resolve);
 		});
@@ -269,33 +269,33 @@
 			return events;
 		}
 
-		it('keeps the status, also of failures', async () => {
+		it('keeps the status, including error statuses', async () => {
 			const events = await forward(await serve(reply('503 Down', 'x')), '/postings');
 			expect(events[0]).to.deep.include({kind: 'head', status: 503});
 			expect(events.at(-1)).to.deep.equal({kind: 'finished'});
 		});
 
-		it('never calls an answer finished that was cut off', async () => {
+		it('never reports a truncated answer as finished', async () => {
 			const origin = await serve(socket => {
 				socket.end('HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nabc');
 			});
 			expect(await catchCode(forward(origin, '/'))).to.equal('unknown');
 		});
 
-		it('goes to its own origin whatever the path', async () => {
+		it('sends to its own origin whatever the path', async () => {
 			const origin = await serve(reply('200 OK', 'here'));
 			const events = await forward(origin, '//192.0.2.1/x');
 			expect(events[0]).to.deep.include({status: 200});
 			expect(await catchCode(forward(origin, 'http://192.0.2.1/x'))).to.equal('refused');
 		});
 
-		it('proves that a request was not sent that can not be', async () => {
+		it('throws refused for an invalid request, which is not sent', async () => {
 			expect(await catchCode(forward(await serve(reply('200 OK', '')), '/', 'BAD METHOD'))).to.equal('refused');
 			expect(connected).to.equal(0);
 		});
 	});
 
-	it('drops the headers of one connection, also those that the sender names', () => {
+	it('drops connection-specific headers, including those that the sender declares', () => {
 		const headers = {
 			Connection: 'close, X-Hop', 'x-hop': '1', 'content-length': '3', accept: ['a', 'b'],
 		};
--- a/packages/backends/src/adapters.ts
+++ b/packages/backends/src/adapters.ts
@@ -1,5 +1,5 @@
 /**
- * Adapters by name; another wire format is another entry of these tables.
+ * Adapters by name. To support another wire format, add an entry to these tables.
  */
 import type {Engine, PlainService} from './endpoint.js';
 import {HttpEngine} from './http-engine.js';
@@ -9,7 +9,7 @@
 import type {MembershipList, WeightStore} from './membership.js';
 import type {ObjectStore, TableService} from './storage.js';
 
-/** All that the platform gives. */
+/** Clients of the platform's services. */
 export type Platform = {
 	tables: TableService;
 	objects: ObjectStore;
--- a/packages/backends/src/connections.ts
+++ b/packages/backends/src/connections.ts
@@ -1,32 +1,31 @@
 /**
- * The connections to each origin, and what is done when one of them goes silent.
+ * Connection pools by origin, which replace all connections of an origin when one of them goes silent.
  *
- * Something between the two ends can lose track of open connections while new ones
- * work, and it mostly loses track of all that are as old. So one silent connection
- * retires all of that origin's: the next call, a retry perhaps, gets a fresh one.
+ * A middlebox can lose its state for open connections while new ones work, and usually loses it for all connections of the same age. So one
+ * silent connection retires the pool of its origin, and the next call, which may be a retry, gets a new connection.
  */
 import {buildConnector, Pool, type Dispatcher} from 'undici';
 
-/** Longest time for a new connection, in milliseconds; hosts answer within some milliseconds or are gone. */
+/** Connect timeout, in milliseconds; a live host answers within a few milliseconds. */
 const connectTimeoutMs = 1000;
 
-/** How long an idle connection is kept, in milliseconds; servers commonly end theirs after five seconds. */
+/** Idle time after which a connection is closed, in milliseconds; servers commonly close theirs after five seconds. */
 const keepAliveMs = 4000;
 
-/** Time before an idle connection's end at which it is no longer used, in milliseconds: a request must not cross the server's close. */
+/** Time before the keep-alive timeout from which a connection is not reused, in milliseconds, so that no request races with the server's close. */
 const keepAliveMarginMs = 2000;
 
 export type ConnectionLimits = {
 	connectTimeoutMs: number;
-	/** How long before the time that a server names its connections are given up, in milliseconds. */
+	/** Time before the keep-alive timeout announced by the server from which its connections are not reused, in milliseconds. */
 	keepAliveMarginMs: number;
 };
 
 /**
- * Makes a reset look like any other error of a connection.
+ * Creates a connector that reports a connection reset under another error code.
  *
- * Undici takes a reset for the end of an answer that has no length, so that an answer that was cut off would be handed on as
- * a whole one. It tells a reset by this code; its own listener comes after this one.
+ * Undici treats a reset, which it recognises by its code, as the end of a response without a length, so a truncated response would count as
+ * complete. The listener runs before that of undici, and undici then handles the error like any other.
  */
 function createConnector(timeoutMs: number): buildConnector.connector {
 	const connect = buildConnector({timeout: timeoutMs});
@@ -46,7 +45,7 @@
 const resetCode = 'ECONNRESET';
 const cutCode = 'ERR_CONNECTION_CUT';
 
-/** Pools of connections by origin. */
+/** Connection pools by origin. */
 export class Connections {
 	readonly #limits: ConnectionLimits;
 	readonly #pools = new Map<string, Pool>();
@@ -60,11 +59,11 @@
 		return this.#find(origin).request(options);
 	}
 
-	/** Uses none of the origin's open connections for new requests; requests under way go on. */
+	/** Stops using the open connections of the origin for new requests; requests in flight continue. */
 	retire(origin: string): void {
 		const pool = this.#pools.get(origin);
 		this.#pools.delete(origin);
-		// Its promise waits for requests under way, which end by their own limits.
+		// Not awaited: `close` waits for the requests in flight, which have their own timeouts.
 		void pool?.close();
 	}
 
@@ -79,5 +78,5 @@
 	}
 }
 
-/** The connections of this process. */
+/** The connection pools of this process. */
 export const connections = new Connections();
--- a/packages/backends/src/endpoint.ts
+++ b/packages/backends/src/endpoint.ts
@@ -3,34 +3,34 @@
  */
 import type {FinishReason, GenerationPart, GenerationRequest} from '@wasabiusher/shared';
 
-/** What an engine streams; without `finished` the answer is not whole. */
+/** An event of an engine's stream; without `finished` the generation is incomplete. */
 export type GenerationEvent
 	= | {kind: 'part'; part: GenerationPart}
 		| {kind: 'finished'; reason: FinishReason};
 
-/** A model that an engine holds, with the version that is in force there. */
+/** A model that an engine has loaded, with the active version of its weights. */
 export type LoadedModel = {model: string; version: number};
 
-/** What an engine reports of itself; it lags. */
+/** The state of an engine by its own report, which may be outdated. */
 export type EngineReport = {
 	models: LoadedModel[];
 	role: string;
 	running: number;
 	waiting: number;
-	/** Most requests that it batches. */
+	/** Maximum number of requests in a batch. */
 	slots: number;
-	/** Tokens made in a second, of late. */
+	/** Recent throughput, in tokens per second. */
 	tokensPerSecond: number;
 	/** Fraction of cache memory in use. */
 	cacheUse: number;
-	/** Set anew at each start of the engine; a change means that it crashed or was replaced. */
+	/** New at each start of the engine; a change means that the engine crashed or was replaced. */
 	startId: string;
 };
 
-/** Orders are absolute: they name the state to be in, so that a repeat does no harm. */
+/** An order to an engine. Orders are idempotent: they name the desired state. */
 export type EngineOrder
 	= | {kind: 'load'; model: string; version: number}
-		// Fetches weights without putting them in force, so that the later load is short.
+		// Fetches weights without activating them, so that the later load is short.
 		| {kind: 'prefetch'; model: string; version: number}
 		| {kind: 'unload'; model: string}
 		| {kind: 'role'; role: string};
@@ -38,29 +38,29 @@
 export type CacheEvent = {sequence: number; kind: 'stored' | 'evicted'; prefix: string};
 
 export type GenerationOptions = {
-	/** Names the run for `cancel`. */
+	/** Id of the run, for `cancel`. */
 	requestId: string;
 	/** 0 is the least urgent. */
 	priority: number;
 	signal: AbortSignal;
 };
 
-/** One model engine. Throws `PlatformError`: `refused` is proven not run, `unavailable` before sending, `unknown` after. */
+/** A model engine. Throws `PlatformError`: `refused` if the request certainly did not run, `unavailable` if it was not sent, `unknown` if it may have run. */
 export type Engine = {
 	generate(request: GenerationRequest, options: GenerationOptions): AsyncIterable<GenerationEvent>;
-	/** Resolves once the engine confirms that the run has stopped; true if it was running. */
+	/** Resolves once the engine confirms that the run has stopped, to whether it was running. */
 	cancel(requestId: string): Promise<boolean>;
 	report(): Promise<EngineReport>;
-	/** Throws `fenced` if the engine refuses the fence; resolves once the state is in force. */
+	/** Resolves once the desired state is reached; throws `fenced` if the engine rejects the fence. */
 	order(order: EngineOrder, fence: number): Promise<void>;
-	/** Cache events after a sequence number; gaps mean that events were lost. */
+	/** Lists the cache events after a sequence number; a gap in the numbers means that events were lost. */
 	listCacheEvents(after: number): Promise<CacheEvent[]>;
-	/** Takes out the attention cache of a run, to go on elsewhere. */
+	/** Exports the attention cache (KV cache) of a run, so that it can be continued at another engine. */
 	exportCache(requestId: string): Promise<Uint8Array>;
 	importCache(requestId: string, content: Uint8Array): Promise<void>;
 };
 
-/** A request to a plain service, kept as the caller sent it. */
+/** A request to a plain service, unmodified. */
 export type PlainRequest = {
 	method: string;
 	/** Path and query. */
@@ -74,9 +74,9 @@
 		| {kind: 'body'; chunk: Uint8Array}
 		| {kind: 'finished'};
 
-/** One plain service. Throws `PlatformError`: `unavailable` is proven not sent, `unknown` may have run. */
+/** A plain service. Throws `PlatformError`: `unavailable` if the request was not sent, `unknown` if it may have run. */
 export type PlainService = {
 	forward(request: PlainRequest, signal: AbortSignal): AsyncIterable<PlainEvent>;
-	/** Whether it answers its health check. */
+	/** Resolves to whether the service is up. */
 	check(): Promise<boolean>;
 };
--- a/packages/backends/src/generation-stream.ts
+++ b/packages/backends/src/generation-stream.ts
@@ -1,5 +1,5 @@
 /**
- * Reads an engine's stream of server-sent events.
+ * Reader of an engine's stream of server-sent events.
  */
 import {createParser} from 'eventsource-parser';
 import {z} from 'zod';
@@ -7,10 +7,10 @@
 import {PlatformError} from './errors.js';
 import {parseAnswer} from './http.js';
 
-/** What ends a stream; an end without it is a failure. */
+/** Data of the terminal event; a stream that ends without it has failed. */
 const terminalData = '[DONE]';
 
-/** Longest unfinished event, in characters; an engine's events are a few hundred. */
+/** Maximum length of an incomplete event, in characters; an engine's events have a few hundred. */
 const maxEventLength = 1_048_576;
 
 const chunkSchema = z.object({
@@ -20,7 +20,7 @@
 });
 
 /**
- * Yields the events of a stream, `finished` only when the terminal event has come.
+ * Yields the events of a stream; `finished` only after the terminal event was received.
  *
  * @throws {PlatformError} `unknown` if the stream ends without its terminal event, `invalid` if an event is malformed
  */
@@ -31,7 +31,7 @@
 	for await (const chunk of chunks) {
 		for (const data of events.read(decoder.decode(chunk, {stream: true}))) {
 			if (data === terminalData) {
-				yield finished ?? fail('the stream ended without a reason');
+				yield finished ?? fail('expected a finish reason before the end of the stream, got none');
 				return;
 			}
 
@@ -45,33 +45,33 @@
 		}
 	}
 
-	fail('the stream ended without its terminal event');
+	fail('expected the terminal event [DONE], but the stream ended without it');
 }
 
 function fail(message: string): never {
 	throw new PlatformError('unknown', message);
 }
 
-/** Splits text into the data of whole events. */
+/** Splits chunks of text into the data of complete events. */
 class EventReader {
-	readonly #ready: string[] = [];
-	#hasOverflown = false;
+	readonly #completed: string[] = [];
+	#hasOverflowed = false;
 	readonly #parser = createParser({
 		maxBufferSize: maxEventLength,
 		onEvent: ({data}) => {
-			this.#ready.push(data);
+			this.#completed.push(data);
 		},
 		onError: ({type}) => {
-			this.#hasOverflown ||= type === 'max-buffer-size-exceeded';
+			this.#hasOverflowed ||= type === 'max-buffer-size-exceeded';
 		},
 	});
 
 	read(text: string): string[] {
 		this.#parser.feed(text);
-		if (this.#hasOverflown) {
+		if (this.#hasOverflowed) {
 			throw new PlatformError('invalid', `an event of the stream exceeds ${maxEventLength} characters`);
 		}
 
-		return this.#ready.splice(0);
+		return this.#completed.splice(0);
 	}
 }
--- a/packages/backends/src/http-engine.ts
+++ b/packages/backends/src/http-engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine over HTTP, with server-sent events for streams.
+ * Client of a model engine over HTTP, with server-sent events for streams.
  */
 import {z} from 'zod';
 import type {Dispatcher} from 'undici';
@@ -13,14 +13,14 @@
 	callBytes, callEmpty, callHttp, callJson, noteFailure,
 } from './http.js';
 
-/** Longest silence within a stream, in milliseconds; engines make several tokens a second. */
+/** Maximum time between two chunks of a stream, in milliseconds; engines generate several tokens per second. */
 const streamTimeoutMs = 15_000;
 
-/** Longest wait for an order, in milliseconds: loading weights takes seconds. */
+/** Maximum time for an order, in milliseconds; loading weights takes seconds. */
 const orderTimeoutMs = 30_000;
 
-/** What is left of a stream after its terminal event, in bytes: the end of its last chunk. */
-const restBytes = 1024;
+/** Maximum number of bytes read after the terminal event of a stream; a correct stream only has the end of its last chunk left. */
+const maxRemainingBytes = 1024;
 
 const reportSchema = z.object({
 	models: z.array(z.object({model: z.string(), version: z.int().nonnegative()})),
@@ -45,24 +45,24 @@
 }
 
 /**
- * Reads what is left of a stream and drops it.
+ * Reads the remaining bytes of a stream and drops them.
  *
- * Undici's own `dump` counts the bytes that were read before as well, so it cuts each stream
- * longer than its limit whose end comes later than its terminal event.
+ * Undici's own `dump` also counts the bytes that were read before, so it would break the connection of each stream that is longer than its
+ * limit and ends some time after its terminal event.
  */
-function discardRest(body: Dispatcher.ResponseData['body']): void {
-	let rest = 0;
-	// A stream that breaks after its terminal event was whole; its connection is not used again.
+function discardRemaining(body: Dispatcher.ResponseData['body']): void {
+	let remainingBytes = 0;
+	// A stream that breaks after its terminal event is complete; its connection is not reused.
 	body.on('error', () => undefined);
 	body.on('data', (chunk: Uint8Array) => {
-		rest += chunk.length;
-		if (rest > restBytes) {
+		remainingBytes += chunk.length;
+		if (remainingBytes > maxRemainingBytes) {
 			body.destroy();
 		}
 	});
 }
 
-/** Speaks an engine's HTTP interface at an origin. */
+/** Client of an engine at an origin. */
 export class HttpEngine implements Engine {
 	readonly #origin: string;
 
@@ -120,10 +120,10 @@
 		});
 	}
 
-	/** A whole stream is read to its end, so that its connection can be used again; any other is cut. */
-	#release(body: Dispatcher.ResponseData['body'], isWhole: boolean): void {
-		if (isWhole) {
-			discardRest(body);
+	/** Reads a complete stream to its end, so that its connection can be reused; destroys any other. */
+	#release(body: Dispatcher.ResponseData['body'], isComplete: boolean): void {
+		if (isComplete) {
+			discardRemaining(body);
 		} else {
 			body.destroy();
 		}
@@ -135,9 +135,9 @@
 				origin: this.#origin, method: 'POST', path: '/v1/completions', body: toBody(request, options), signal: options.signal, timeoutMs: streamTimeoutMs,
 			});
 		} catch (error) {
-			// An engine that lacks the model has run nothing.
+			// An engine without the model has not run the request.
 			throw error instanceof PlatformError && error.code === 'missing'
-				? new PlatformError('refused', `the engine does not hold ${request.model}`, error)
+				? new PlatformError('refused', `the engine has not loaded model ${request.model}`, error)
 				: error;
 		}
 	}
--- a/packages/backends/src/http-membership.ts
+++ b/packages/backends/src/http-membership.ts
@@ -1,5 +1,5 @@
 /**
- * The membership list and the weight store over HTTP.
+ * Clients of the membership list and the weight store over HTTP.
  */
 import {z} from 'zod';
 import {callEmpty, callJson} from './http.js';
--- a/packages/backends/src/http-plain-service.ts
+++ b/packages/backends/src/http-plain-service.ts
@@ -1,41 +1,41 @@
 /**
- * A plain service over HTTP: forwarded as it was sent.
+ * Client of a plain service over HTTP, which forwards requests unmodified except for connection-specific headers.
  */
 import type {Dispatcher} from 'undici';
 import type {PlainEvent, PlainRequest, PlainService} from './endpoint.js';
 import {PlatformError} from './errors.js';
 import {callEmpty, noteFailure, sendRequest} from './http.js';
 
-/** Longest wait for headers and between pieces of a body, in milliseconds; the caller's deadline is shorter. */
+/** Maximum wait for the headers and between two chunks of the body, in milliseconds; the caller's deadline is shorter. */
 const forwardTimeoutMs = 60_000;
 
-/** Longest wait for a health check, in milliseconds. */
+/** Maximum time for a health check, in milliseconds. */
 const checkTimeoutMs = 1000;
 
-/** Headers that belong to one connection, not to the request (RFC 9110, section 7.6.1). */
+/** Connection-specific (hop-by-hop) headers, which must not be forwarded (RFC 9110, section 7.6.1). */
 const connectionHeaders = new Set(['connection', 'keep-alive', 'proxy-connection', 'te', 'trailer', 'transfer-encoding', 'upgrade', 'host', 'content-length', 'expect']);
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Headers that the sender has named as belonging to the connection. */
+/** Lists the headers that the sender has declared as connection-specific. */
 function listNamedHeaders(headers: Headers): string[] {
 	return String(headers.connection ?? '').split(',').map(name => name.trim().toLowerCase());
 }
 
-/** Between several cookies of one answer: a comma may stand within one, a line end may not (RFC 6265, section 3). */
+/** Separator of several cookies of one response: a cookie may contain a comma, but no line break (RFC 6265, section 3). */
 const cookieSeparator = '\n';
 
 function joinValues(name: string, values: readonly string[]): string {
 	return values.join(name === 'set-cookie' ? cookieSeparator : ', ');
 }
 
-/** Takes headers that `listEndToEndHeaders` has joined apart again, where they can't be sent as one. */
+/** Splits the `set-cookie` headers that `listEndToEndHeaders` has joined, because they can't be sent as one header. */
 export function splitCookies(headers: Readonly<Record<string, string>>): Record<string, string | string[]> {
 	const cookies = headers['set-cookie'];
 	return cookies === undefined ? {...headers} : {...headers, 'set-cookie': cookies.split(cookieSeparator)};
 }
 
-/** Headers that travel with a request or an answer. */
+/** Returns the headers that are forwarded with a request or a response. */
 export function listEndToEndHeaders(headers: Headers): Record<string, string> {
 	const named = new Set(listNamedHeaders(headers));
 	const kept: Record<string, string> = {};
@@ -78,7 +78,7 @@
 		} catch (error) {
 			throw noteFailure(this.#origin, error);
 		} finally {
-			// Left after its head, the body would hold the connection; destroying a whole one changes nothing.
+			// If the consumer stops early, an unread body would occupy the connection. Destroying a body that was read to its end has no effect.
 			response.body.destroy();
 		}
 
@@ -92,7 +92,7 @@
 			});
 			return true;
 		} catch (error) {
-			// An answer that is no failure of the service's shows that it runs, even without such a path.
+			// A service without this path is up if it answers with an error of the request instead of its own.
 			return error instanceof PlatformError && (error.code === 'missing' || error.code === 'refused');
 		}
 	}
--- a/packages/backends/src/http-storage.ts
+++ b/packages/backends/src/http-storage.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's table service and object store over HTTP.
+ * Clients of the platform's table service and object store over HTTP.
  */
 import {z} from 'zod';
 import {
@@ -12,7 +12,7 @@
 const rowSchema = z.object({key: z.string(), value: z.unknown(), version: z.int()});
 const versionsSchema = z.object({versions: z.array(z.int())});
 
-/** Speaks the table service's HTTP interface at an origin such as `http://10.0.0.1:7000`. */
+/** Client of the table service at an origin such as `http://10.0.0.1:7000`. */
 export class HttpTableService implements TableService {
 	readonly #origin: string;
 
@@ -38,7 +38,7 @@
 	}
 }
 
-/** Speaks the object store's HTTP interface. */
+/** Client of the object store at an origin. */
 export class HttpObjectStore implements ObjectStore {
 	readonly #origin: string;
 
--- a/packages/backends/src/http.ts
+++ b/packages/backends/src/http.ts
@@ -1,5 +1,5 @@
 /**
- * Calls over HTTP, with each failure turned into what is known of its effect.
+ * HTTP calls whose failures are classified by whether the call may have had an effect.
  */
 import type {Dispatcher} from 'undici';
 import type {z} from 'zod';
@@ -7,15 +7,15 @@
 import {PlatformError, type PlatformErrorCode} from './errors.js';
 import {DeadlineError, isSilence, toPlatformError} from './failures.js';
 
-/** Longest wait for an answer of the platform, in milliseconds. */
+/** Default timeout of a call, in milliseconds. */
 const defaultTimeoutMs = 3000;
 
-/** Longest text of an error answer that is kept, in characters. */
+/** Maximum length of the text of an error response that is kept, in characters. */
 const maxDetailLength = 200;
 
 /**
- * What the platform's and the engines' statuses prove. Any other status from 400 on is
- * `unknown`: a 500, or a 502 of something in between, may come after the effect.
+ * Error codes of the platform's and the engines' HTTP statuses. Any other status of at least 400 is `unknown`: a 500, or a 502 of a proxy,
+ * may be sent after the effect.
  */
 const statusCodes: ReadonlyMap<number, PlatformErrorCode> = new Map([
 	[400, 'refused'],
@@ -36,14 +36,14 @@
 	method: 'GET' | 'PUT' | 'POST' | 'DELETE';
 	/** Begins with a slash. */
 	path: string;
-	/** Sent as JSON unless it is bytes. */
+	/** Sent as is if it is a `Uint8Array`, otherwise as JSON. */
 	body?: unknown;
-	/** Longest wait for the answer's headers, and between pieces of its body. */
+	/** Maximum wait for the headers of the response, and between two chunks of its body, in milliseconds. */
 	timeoutMs?: number;
 	signal?: AbortSignal;
 };
 
-/** A call whose whole answer comes within `timeoutMs`. */
+/** A call whose complete response must be received within `timeoutMs`. */
 export type WholeCall = Omit<HttpCall, 'signal'>;
 
 function encodeBody(body: unknown): Pick<Dispatcher.RequestOptions, 'body' | 'headers'> {
@@ -58,10 +58,10 @@
 
 export type SentRequest = Omit<Dispatcher.RequestOptions, 'signal'> & {signal?: AbortSignal};
 
-/** Sends a request; a connection that went silent is not used again, nor are those as old. */
+/** Sends a request. If its connection goes silent, all open connections of the origin are retired. */
 export async function sendRequest(origin: string, options: SentRequest): Promise<Dispatcher.ResponseData> {
 	if (options.signal?.aborted) {
-		throw new PlatformError('unavailable', 'the call was stopped before it was sent');
+		throw new PlatformError('unavailable', 'the call was aborted before it was sent');
 	}
 
 	try {
@@ -71,7 +71,7 @@
 	}
 }
 
-/** Turns a failure into a `PlatformError`, and retires the connections if it was silence. */
+/** Converts a failure to a `PlatformError`, and retires the connections of the origin if a connection went silent. */
 export function noteFailure(origin: string, error: unknown): PlatformError {
 	if (isSilence(error)) {
 		connections.retire(origin);
@@ -81,9 +81,9 @@
 }
 
 /**
- * Makes a call and returns the open answer, whose status is below 400.
+ * Makes a call and returns its response with the unread body; the status is below 400.
  *
- * @throws {PlatformError} by the status, or `unavailable` if nothing was sent, `unknown` if that is not certain
+ * @throws {PlatformError} by the status; `unavailable` if nothing was sent, `unknown` if that is not certain
  */
 export async function callHttp({origin, method, path, body, timeoutMs = defaultTimeoutMs, signal}: HttpCall): Promise<Dispatcher.ResponseData> {
 	const response = await sendRequest(origin, {
@@ -99,15 +99,15 @@
 }
 
 /**
- * Makes a call and reads its whole answer, all within `timeoutMs`.
+ * Makes a call and reads its complete response, all within `timeoutMs`.
  *
- * @param read - takes the content out of the answer
+ * @param read - reads the content from the body
  */
 async function callWhole<Content>(call: WholeCall, read: (body: Dispatcher.ResponseData['body']) => Promise<Content>): Promise<Content> {
 	const {origin, timeoutMs = defaultTimeoutMs} = call;
 	const deadline = new AbortController();
 	const timer = setTimeout(() => {
-		deadline.abort(new DeadlineError('deadline', `${call.method} ${call.path}: no whole answer within ${timeoutMs} ms`));
+		deadline.abort(new DeadlineError('deadline', `${call.method} ${call.path}: expected a complete response within ${timeoutMs} ms`));
 	}, timeoutMs);
 	try {
 		const {body} = await callHttp({...call, signal: deadline.signal});
@@ -120,27 +120,26 @@
 }
 
 /**
- * Makes a call and checks its JSON against the schema.
+ * Makes a call and validates its JSON response.
  *
- * @throws {PlatformError} `invalid` if the answer to a read has another shape, `unknown` if the answer to
- * a write has: it may have taken effect
+ * @throws {PlatformError} if the response does not match the schema: `invalid` for a read, `unknown` for a write, which may have taken effect
  */
 export async function callJson<Schema extends z.ZodType>(schema: Schema, call: WholeCall): Promise<z.infer<Schema>> {
 	const text = await callWhole(call, async body => body.text());
 	return parseAnswer(schema, text, `${call.method} ${call.path}`, call.method === 'GET' ? 'invalid' : 'unknown');
 }
 
-/** Makes a call whose answer has nothing to tell. */
+/** Makes a call and discards the body of its response. */
 export async function callEmpty(call: WholeCall): Promise<void> {
 	await callWhole(call, async body => body.dump());
 }
 
-/** Makes a call and returns the bytes of its answer. */
+/** Makes a call and returns the bytes of its response. */
 export async function callBytes(call: WholeCall): Promise<Uint8Array> {
 	return callWhole(call, async body => body.bytes());
 }
 
-/** Turns `missing` into undefined. */
+/** Awaits a call; resolves to undefined if it throws `missing`. */
 export async function orUndefined<Content>(call: Promise<Content>): Promise<Content | undefined> {
 	try {
 		return await call;
@@ -153,19 +152,19 @@
 	}
 }
 
-/** Parses and checks an answer; throws `PlatformError` with the given code. */
+/** Parses and validates the text of a response; throws `PlatformError` with the given code. */
 export function parseAnswer<Schema extends z.ZodType>(schema: Schema, text: string, subject: string, code: PlatformErrorCode): z.infer<Schema> {
 	let value: unknown;
 	try {
 		value = JSON.parse(text);
 	} catch (error) {
-		throw new PlatformError(code, `${subject}: the answer is not JSON`, error);
+		throw new PlatformError(code, `${subject}: expected a JSON response`, error);
 	}
 
 	const parsed = schema.safeParse(value);
 	if (!parsed.success) {
 		const issue = parsed.error.issues[0]!;
-		throw new PlatformError(code, `${subject}: answer field ${issue.path.join('.')}: ${issue.message}`, parsed.error);
+		throw new PlatformError(code, `${subject}: response field ${issue.path.join('.')}: ${issue.message}`, parsed.error);
 	}
 
 	return parsed.data;
--- a/packages/backends/src/index.ts
+++ b/packages/backends/src/index.ts
@@ -1,4 +1,4 @@
-/** Clients of the platform and of endpoints; the only place that knows their wire formats. */
+/** Interfaces to the platform and to endpoints, and their HTTP clients. */
 export type * from './duty.js';
 export type * from './endpoint.js';
 export * from './adapters.js';
--- a/packages/backends/src/membership.ts
+++ b/packages/backends/src/membership.ts
@@ -1,16 +1,16 @@
 /**
- * The platform's list of hosts, which lags behind the truth.
+ * Interfaces to the platform's membership list, which may be outdated, and to its weight store.
  */
 import {z} from 'zod';
 
 export const memberSchema = z.object({
 	id: z.string(),
 	role: z.enum(['entry', 'agent']),
-	/** `ip:port` of the process's link. */
+	/** `ip:port` at which the process accepts links. */
 	address: z.string(),
 	dataCentre: z.string(),
 	region: z.string(),
-	/** Name of the service whose endpoint the agent stands beside. */
+	/** Service of the endpoint that the agent runs beside. */
 	service: z.string().optional(),
 	state: z.enum(['live', 'leaving']),
 });
@@ -20,12 +20,12 @@
 export type MembershipList = {
 	/** Throws `PlatformError`. */
 	list(): Promise<Member[]>;
-	/** Adds this process or replaces its row; the platform's own host registry does the rest. */
+	/** Adds this process or replaces its row; the platform's host registry handles everything else. */
 	announce(member: Member): Promise<void>;
 };
 
-/** The store of weights: which versions of each model exist. Bytes go from it to engines, never through us. */
+/** The weight store, as a list of published versions. Engines fetch the weights from it directly. */
 export type WeightStore = {
-	/** The newest published version of each model, and when it came (milliseconds since the epoch). */
+	/** Lists the latest published version of each model, with its time of publication in milliseconds since the epoch. */
 	listVersions(): Promise<Array<{model: string; version: number; publishedAt: number}>>;
 };
--- a/packages/backends/src/row-pages.ts
+++ b/packages/backends/src/row-pages.ts
@@ -1,13 +1,13 @@
 /**
- * Reading of a range of rows that is longer than one answer of the store.
+ * Pagination of reads from the row store.
  */
 import type {RowPage, RowRange, RowStore} from './row-store.js';
 
-/** Reads a range page by page, each as of a moment of its own; `limit` is that of a page. Throws what the store throws. */
+/** Reads a range page by page; `limit` is the page size. Each page is a snapshot of its own. Throws the errors of the store. */
 export async function * readPages(store: Pick<RowStore, 'read'>, range: RowRange): AsyncIterable<RowPage> {
 	let {from} = range;
 	for (;;) {
-		// Each page begins where the one before has ended.
+		// Each page starts after the end of the previous one.
 		// eslint-disable-next-line no-await-in-loop
 		const page = await store.read({...range, from});
 		yield page;
@@ -16,7 +16,7 @@
 			return;
 		}
 
-		// The smallest key that comes after the last one.
+		// The smallest key that is greater than the last one.
 		from = `${last.key}\u0000`;
 	}
 }
--- a/packages/backends/src/row-store.ts
+++ b/packages/backends/src/row-store.ts
@@ -1,81 +1,81 @@
 /**
- * Interface to a table service whose rows lie in parts and whose changes can be followed.
+ * Interface to a store of rows in partitioned tables with a change feed.
  *
- * A superset of `TableService` in what it can do: transactions over several rows with conditions
- * on any of them, and a feed of changes from a version on.
+ * It can do more than `TableService`: a transaction may write several rows with conditions on any rows, and the changes after a version can be
+ * followed.
  */
 
-/** Where a row lies; a part is the unit in which transactions follow one another. */
+/** The address of a row; transactions are serialised per part. */
 export type RowAddress = {table: string; part: string; key: string};
 
-/** A row as it is stored. */
+/** A stored row. */
 export type StoredValue = RowAddress & {
 	value: Uint8Array;
-	/** From one counter of the whole store, which each transaction raises. */
+	/** Value of a store-wide counter that each transaction increases. */
 	version: number;
 };
 
-/** A change of a row, as the feed tells it; without a value the row was removed. */
+/** A change of a row from the change feed; an undefined value means that the row was removed. */
 export type RowChange = RowAddress & {value: Uint8Array | undefined; version: number};
 
-/** A condition: the version that a row must have; 0 demands that there is none. */
+/** A condition of a transaction: the version that a row must have; 0 means that the row must not exist. */
 export type RowCondition = RowAddress & {version: number};
 
-/** A transaction: all of it is applied, or none. */
+/** An atomic transaction. */
 export type RowTransaction = {
 	conditions: RowCondition[];
 	puts: Array<RowAddress & {value: Uint8Array}>;
 	deletes: RowAddress[];
 };
 
-/** Rows of one moment. */
+/** A page of rows, read as a consistent snapshot. */
 export type RowPage = {
 	rows: StoredValue[];
 	hasMore: boolean;
-	/** The newest version in the store at that moment. */
+	/** Latest version of the store at the time of the snapshot. */
 	version: number;
-	/** The store's steady clock, in milliseconds. */
+	/** Time by the store's monotonic clock, in milliseconds. */
 	storeMs: number;
 };
 
-/** Which rows of a part to read, in ascending order of their keys. */
+/** A range of rows of a part, in ascending order of their keys. */
 export type RowRange = {
 	table: string;
 	part: string;
-	/** First key. */
+	/** First key, inclusive. */
 	from?: string;
-	/** First key that is left out. */
+	/** End of the range, exclusive. */
 	to?: string;
 	limit?: number;
 };
 
-/** Changes of a table after a version. */
+/** The changes of a table after a version. */
 export type ChangePage = {changes: RowChange[]; version: number; storeMs: number};
 
-/** The answer to a transaction that was applied. */
+/** The result of an applied transaction. */
 export type CommitReceipt = {
-	/** Version that the written rows now have. */
+	/** New version of the written rows. */
 	version: number;
 	storeMs: number;
 };
 
 /**
- * The store.
+ * The row store.
  *
- * Each call may throw `PlatformError`: `unavailable` or `limited` if nothing was done, `unknown` if a
- * write may have been done or may be done yet, `conflict` if a condition did not hold.
+ * Each call may throw `PlatformError`: `unavailable` or `limited` if it had no effect, `unknown` if a write may have been applied or may still
+ * be applied later, `conflict` if a condition was not met.
  */
 export type RowStore = {
 	commit(transaction: RowTransaction): Promise<CommitReceipt>;
 	read(range: RowRange): Promise<RowPage>;
-	/** Waits up to `waitMs` for a change after a version. Throws `missing` if that history is gone. */
+	/** Returns the changes after a version; waits up to `waitMs` for the first one. Throws `missing` if the store no longer has that history. */
 	follow(table: string, after: number, waitMs: number): Promise<ChangePage>;
 };
 
-/** Whole objects by name. */
+/** A store of objects by name. */
 export type BlobStore = {
 	put(name: string, content: Uint8Array): Promise<void>;
-	/** Throws `missing` if there is none. */
+	/** Throws `missing` if the object does not exist. */
 	get(name: string): Promise<Uint8Array>;
 	drop(name: string): Promise<void>;
 };
--- a/packages/backends/src/serving.ts
+++ b/packages/backends/src/serving.ts
@@ -1,12 +1,11 @@
 /**
- * Interface to an endpoint that is called without an agent beside it.
+ * Interface to endpoints that are called directly, without an agent.
  *
- * The endpoint itself guards its capacity, checks that it is the one that was meant, and labels
- * what it makes with the version of its weights.
+ * The endpoint itself enforces its capacity, verifies that it is the addressed one, and labels its results with the version of its weights.
  */
 import type {HeldModel} from '@wasabiusher/shared';
 
-/** Which endpoint is meant: one start of a server at an address. */
+/** The addressed endpoint: a server at an address, identified by the id of its start. */
 export type EndpointTarget = {id: string; address: string};
 
 /** A request for an endpoint. */
@@ -16,88 +15,88 @@
 	path: string;
 	/** Host name of the route. */
 	host: string;
-	/** Headers of the caller that concern the endpoint, names in lower case. */
+	/** Headers of the caller that are forwarded to the endpoint; names in lower case. */
 	headers: Record<string, string>;
 	body: Uint8Array;
-	/** Whose request it is, as the endpoint is told; undefined if nobody's. */
+	/** Customer that is reported to the endpoint; undefined if the request belongs to none. */
 	customer?: string;
-	/** Names this attempt of the caller; the endpoint's answer carries it. */
+	/** Id of this attempt; the endpoint returns it with its answer. */
 	attemptId: string;
-	/** Time that the caller still waits, in milliseconds; the endpoint stops then. */
+	/** Time left until the deadline of the caller, in milliseconds; the endpoint stops the request then. */
 	remainingMs: number;
-	/** Go on after this event; undefined begins anew. */
+	/** Id of the event after which the run is resumed; undefined starts a new run. */
 	resumeAfter?: number;
-	/** 0 is served first. */
+	/** Lower values are served first; 0 is the most urgent. */
 	urgency?: number;
-	/** Refuse unless the weights have this version. */
+	/** The endpoint refuses the request unless its weights have this version. */
 	expectVersion?: number;
 };
 
-/** Work at an endpoint, as it told with an answer. */
+/** The load of an endpoint, as reported with an answer. */
 export type EndpointLoad = {
 	running: number;
 	waiting: number;
 	slots: number;
-	/** Factor by which work takes longer on its machine at this moment; 1 as usual, undefined if it does not tell. */
+	/** Factor by which work currently takes longer than usual on its machine; undefined if it is not reported. */
 	slowness?: number;
 };
 
-/** Beginning of an endpoint's answer. */
+/** The head of an endpoint's answer: status, headers and the values read from them. */
 export type ServingHead = {
 	status: number;
-	/** End-to-end headers, names in lower case. */
+	/** End-to-end headers; names in lower case. */
 	headers: Record<string, string>;
-	/** Whether the endpoint says that it did not and will not run the request. */
+	/** Whether the endpoint states that it has not run and will not run the request. */
 	isNotRun: boolean;
-	/** The endpoint's mark on its answer; a success without it is not the endpoint's. */
+	/** Stamp by which the endpoint marks its answers; a success without a stamp does not come from the endpoint. */
 	stamp: string | undefined;
 	load: EndpointLoad | undefined;
 	/** Version of the weights at the start of the answer. */
 	weightVersion: number | undefined;
 	/**
-	 * Whether the answer tells where it ends. One without a length ends with its connection, and a server that broke off
-	 * looks the same; such an answer must not be handed on as a whole one.
+	 * Whether the answer is framed by a length or chunks. Without framing it ends when the connection closes, which can't be distinguished from
+	 * a truncated answer, so such an answer must not be treated as complete.
 	 */
 	isFramed: boolean;
-	/** Whether the endpoint announced that it is leaving or closes the connection. */
+	/** Whether the endpoint has announced that it is shutting down or will close the connection. */
 	isClosing: boolean;
 };
 
-/** A whole answer of an endpoint. */
+/** A complete answer of an endpoint. */
 export type ServingAnswer = ServingHead & {body: Uint8Array};
 
-/** An answer whose body still comes. */
+/** An answer with a streamed body. */
 export type ServingStream = ServingHead & {
-	/** Ends only when the answer is whole; throws `PlatformError` `unknown` if it breaks off. */
+	/** Ends only if the answer is complete; throws `PlatformError` (`unknown`) if it is truncated. */
 	body: AsyncIterable<Uint8Array>;
 };
 
 /** One event of a run. */
 export type RunEvent = {
-	/** Counts up by one; the first of a run that was not resumed is 1. */
+	/** Increases by one with each event; the first event of a new run has id 1. */
 	id: number;
 	data: string;
-	/** Version of the weights that made it. */
+	/** Version of the weights that generated it. */
 	version: number;
 };
 
-/** A run whose events still come. */
+/** A run with streamed events. */
 export type ServingRun = ServingHead & {
-	/** Ends only when the run is whole; throws `PlatformError` if it breaks off or an event is malformed. */
+	/** Ends only if the run is complete; throws `PlatformError` if it is truncated or an event is malformed. */
 	events: AsyncIterable<RunEvent>;
 };
 
-/** What an endpoint tells of itself on demand. */
+/** The state that an endpoint reports on request. */
 export type ServingReport = {
 	models: HeldModel[];
-	/** Whether an order is being carried out. */
+	/** Whether the endpoint is carrying out an order. */
 	isBusy: boolean;
 	orderCount: number;
-	/** Start of the endpoint, as in its registration; undefined if it does not tell. */
+	/** Start time of the endpoint as in its registration, in milliseconds since the epoch; undefined if it is not reported. */
 	bornMs?: number;
 };
 
-/** How runs under way are treated while weights are changed. */
+/** What happens to active runs when weights are loaded. */
 export type LoadMode = 'finish-first' | 'cut' | 'continue';
 
 /** An order to load weights. */
@@ -105,32 +104,32 @@
 	model: string;
 	version: number;
 	mode: LoadMode;
-	/** Orders that the endpoint must have accepted before; it refuses otherwise. */
+	/** Number of orders that the endpoint must have accepted before; it refuses the order otherwise. */
 	expectedOrders: number;
 	holder: string;
 	fence: number;
 };
 
 /**
- * - `accepted`: being carried out
- * - `holds`: that version is loaded already
- * - `changed`: another order is under way, or the number of orders differs
- * - `fenced`: an order with a higher fence has come before
+ * - `accepted`: the order is being carried out
+ * - `holds`: the version is already loaded
+ * - `changed`: another order is in progress, or the number of orders differs from the expected one
+ * - `fenced`: an order with a higher fence was received before
  * - `misdirected`: another server has the address
- * - `unknown-version`: the order does not exist, for one since the version is not published
+ * - `unknown-version`: the order can't be carried out, for example because the version is not published
  */
 export type OrderOutcome = 'accepted' | 'holds' | 'changed' | 'fenced' | 'misdirected' | 'unknown-version';
 
 /**
- * Calls to endpoints.
+ * Client of endpoints.
  *
- * Each may throw `PlatformError`: `unavailable` if nothing was sent, `unknown` if it may have run,
- * `refused` if the endpoint proves that it did not run.
+ * Each call may throw `PlatformError`: `unavailable` if nothing was sent, `unknown` if the request may have run, `refused` if the endpoint
+ * confirms that it did not run.
  */
 export type ServingClient = {
-	/** Calls and reads the whole answer. */
+	/** Sends a request and reads the complete answer. */
 	call(target: EndpointTarget, request: ServingRequest, signal: AbortSignal): Promise<ServingAnswer>;
-	/** Calls and hands on the answer as it comes. */
+	/** Sends a request and streams the answer. */
 	open(target: EndpointTarget, request: ServingRequest, signal: AbortSignal): Promise<ServingStream>;
 	/** Starts or resumes a run. */
 	run(target: EndpointTarget, request: ServingRequest, signal: AbortSignal): Promise<ServingRun>;
--- a/packages/backends/src/storage.ts
+++ b/packages/backends/src/storage.ts
@@ -1,33 +1,33 @@
 /**
  * Interfaces to the platform's storage: the transactional table service and the object store.
  *
- * No wire format stands here; adapters are chosen by name.
+ * They are independent of the wire format; see `adapters.ts` for the implementations.
  */
 
-/** A stored row; its version counts up by one with each write. */
+/** A stored row; its version increases by one with each write. */
 export type StoredRow = {
 	key: string;
 	value: unknown;
 	version: number;
 };
 
-/** One write of a transaction; all of a transaction's conditions hold, or nothing is written. */
+/** One write of a transaction. A transaction is atomic: nothing is written unless all of its conditions are met. */
 export type ConditionalWrite = {
 	table: string;
 	key: string;
-	/** The version that the row must have; 0 demands that there is none; undefined writes blindly. */
+	/** The version that the row must have; 0 means that the row must not exist; undefined writes unconditionally. */
 	expect?: number;
 	/** The new value; undefined deletes the row. */
 	value?: unknown;
 };
 
-/** Rows in key order. */
+/** Options of a scan, which returns rows in the order of their keys. */
 export type ScanOptions = {
-	/** Keys that begin with this. */
+	/** Only rows whose keys begin with this prefix. */
 	prefix?: string;
-	/** Keys greater than this. */
+	/** Only rows whose keys are greater. */
 	after?: string;
-	/** Most rows returned. */
+	/** Maximum number of rows to return. */
 	limit?: number;
 };
 
@@ -39,11 +39,11 @@
 export type TableService = {
 	read(table: string, key: string): Promise<StoredRow | undefined>;
 	scan(table: string, options?: ScanOptions): Promise<StoredRow[]>;
-	/** Returns the new versions, in the order of the writes; 0 for a deleted row. Throws `conflict` when a condition fails. */
+	/** Returns the new versions in the order of the writes; 0 for a deleted row. Throws `conflict` if a condition is not met. */
 	transact(writes: readonly ConditionalWrite[]): Promise<number[]>;
 };
 
-/** The object store: whole objects by key, last writer wins. */
+/** The object store: objects by key; the last write wins. */
 export type ObjectStore = {
 	get(key: string): Promise<Uint8Array | undefined>;
 	put(key: string, content: Uint8Array): Promise<void>;
