--- a/packages/daemon/__tests__/http-server.spec.ts
+++ b/packages/daemon/__tests__/http-server.spec.ts
@@ -32,7 +32,7 @@
 		return socket;
 	}
 
-	/** Sends raw text; resolves to all that came until the connection ended. */
+	/** Sends raw text; resolves to all data received until the connection closed. */
 	async function exchange(text: string, socket?: Socket): Promise<string> {
 		const used = socket ?? await open();
 		let received = '';
@@ -58,20 +58,20 @@
 		await server.kill();
 	});
 
-	it('answers a body that is not JSON', async () => {
+	it('responds with an error to a body that is not JSON', async () => {
 		await start();
 		const response = await fetch(`http://${address}/echo`, {method: 'POST', body: '{'});
 		expect(response.status).to.equal(400);
 		expect(await response.text()).to.contain('not JSON');
 	});
 
-	it('answers a body that is announced too large without waiting for it', async () => {
+	it('responds to a body whose announced length is too large, without waiting for it', async () => {
 		await start();
 		const received = await exchange('POST /echo HTTP/1.1\r\nhost: a\r\ncontent-length: 1000000\r\n\r\n');
 		expect(received).to.contain('exceeds 100 bytes');
 	});
 
-	it('answers a body that turns out too large', async () => {
+	it('responds with an error to a chunked body that is too large', async () => {
 		await start();
 		const chunk = `c8\r\n${'x'.repeat(200)}\r\n`;
 		const received = await exchange(`POST /echo HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n${chunk}`);
@@ -84,7 +84,7 @@
 		expect(await response.json()).to.deep.equal({name: 'a/b', query: 'c d'});
 	});
 
-	it('outlives paths that can not be read', async () => {
+	it('continues to serve after malformed paths', async () => {
 		await start();
 		const malformed = await get('/parameters/%E0%A4%A');
 		expect(malformed.status).to.equal(400);
@@ -94,18 +94,18 @@
 		expect(response.status).to.equal(200);
 	});
 
-	it('ends a connection that sends its headers too slowly', async () => {
+	it('closes a connection that sends its headers too slowly', async () => {
 		await start({headersTimeoutMs: 10, checkMs: 2});
 		const received = await exchange('GET /slow HTTP/1.1\r\nhost');
 		expect(received).to.match(/^HTTP\/1\.1 408 /v);
 	});
 
-	it('ends a connection that sends its body too slowly', async () => {
+	it('closes a connection that sends its body too slowly', async () => {
 		await start({headersTimeoutMs: 10, requestTimeoutMs: 20, checkMs: 2});
 		await exchange('POST /echo HTTP/1.1\r\nhost: a\r\ncontent-length: 10\r\n\r\n{');
 	});
 
-	it('takes no more connections than its limit', async () => {
+	it('accepts no more connections than its limit', async () => {
 		await start({maxConnections: 1});
 		await open();
 		const refused = await open();
@@ -115,7 +115,7 @@
 	describe('closing', () => {
 		let endExchange: () => void;
 
-		async function startWaiting(): Promise<void> {
+		async function startWithOpenExchange(): Promise<void> {
 			await start();
 			server.on('get', '/wait', async ({response}) => {
 				response.write('begun\n');
@@ -131,7 +131,7 @@
 			await once(socket, 'data');
 		}
 
-		it('ends idle kept-alive connections at once', async () => {
+		it('closes idle keep-alive connections at once', async () => {
 			await start();
 			const socket = await open();
 			socket.write('GET /parameters/a HTTP/1.1\r\nhost: a\r\n\r\n');
@@ -139,8 +139,8 @@
 			await Promise.all([once(socket, 'close'), server.close()]);
 		});
 
-		it('finishes an open exchange and then ends its connection', async () => {
-			await startWaiting();
+		it('finishes an open exchange and then closes its connection', async () => {
+			await startWithOpenExchange();
 			const socket = await open();
 			await begin(socket);
 			let rest = '';
@@ -154,13 +154,13 @@
 			expect(rest).to.contain('whole');
 		});
 
-		it('does not wait for a connection that never sends', async () => {
+		it('does not wait for a connection that never sends a request', async () => {
 			await start({closeGraceMs: 5});
 			const silent = await open();
 			await Promise.all([once(silent, 'close'), server.close()]);
 		});
 
-		it('does not wait longer than a request may take for a body that does not come', async () => {
+		it('waits for a stalled body no longer than the request timeout', async () => {
 			await start({headersTimeoutMs: 20, requestTimeoutMs: 20, checkMs: 10_000});
 			const slow = await open();
 			slow.on('error', () => undefined);
--- a/packages/daemon/__tests__/settings.spec.ts
+++ b/packages/daemon/__tests__/settings.spec.ts
@@ -42,25 +42,25 @@
 }
 
 describe('parseSettings', () => {
-	it('takes flags, then variables, then defaults', () => {
+	it('prefers flags to variables and variables to defaults', () => {
 		const settings = parse(['--name', 'flag'], {WASABIUSHER_NAME: 'variable', WASABIUSHER_MAX_WAITING: '7'});
 		expect(settings).to.deep.equal({
 			name: 'flag', maxWaiting: 7, tokens: [], isQuiet: false,
 		});
 	});
 
-	it('keeps values that look like numbers as they were written', () => {
+	it('keeps values that look like numbers unchanged', () => {
 		expect(parse(['--name', '007', '--tokens', '0123'])).to.deep.include({name: '007', tokens: ['0123']});
 		expect(parse(['--name=1e3'])).to.deep.include({name: '1e3'});
 	});
 
-	it('takes switches by name, by letter and negated', () => {
+	it('accepts switches by name, by letter and negated', () => {
 		expect(parse(['--name', 'a', '--is-quiet'])).to.deep.include({isQuiet: true});
 		expect(parse(['--name', 'a', '-q'])).to.deep.include({isQuiet: true});
 		expect(parse(['--name', 'a', '-q', '--no-is-quiet'])).to.deep.include({isQuiet: false});
 	});
 
-	it('names what is wrong in one line', () => {
+	it('names the invalid setting in a one-line message', () => {
 		expect(catchMessage(['--name', 'a', '--nope', '1'])).to.equal('unknown setting --nope; see --help');
 		expect(catchMessage(['--name'])).to.equal('setting --name: expected a value');
 		expect(catchMessage([])).to.equal('setting --name is required (or WASABIUSHER_NAME)');
--- a/packages/daemon/src/connections.ts
+++ b/packages/daemon/src/connections.ts
@@ -1,13 +1,12 @@
 /**
- * Ends a server's connections on a graceful shutdown: idle ones at once, busy ones when their exchange has ended.
+ * Closes a server's connections on a graceful shutdown: idle ones at once, busy ones when their exchange has ended.
  *
- * Node's own `close` waits for connections that never send anything, and no longer
- * enforces the limits for slow senders once it was called.
+ * Node's own `close` waits for connections that never send anything, and stops enforcing the timeouts for slow senders when it is called.
  */
 import type {IncomingMessage, Server, ServerResponse} from 'node:http';
 import type {Socket} from 'node:net';
 
-/** What a server has open. */
+/** The open connections and exchanges of a server. */
 export class Connections {
 	readonly #server: Server;
 	readonly #sockets = new Set<Socket>();
@@ -27,25 +26,25 @@
 		});
 	}
 
-	/** Exchanges that have begun and not ended. */
+	/** Number of exchanges that have begun and not ended. */
 	get openExchanges(): number {
 		return this.#exchanges.size;
 	}
 
 	/**
-	 * Takes no new connections; resolves when all have ended.
+	 * Stops accepting connections; resolves when all have ended.
 	 *
-	 * @param graceMs - time for a connection without an exchange to bring the request that may be on its way, in milliseconds
-	 * @param bodyTimeoutMs - time for a request's body that is still being sent, in milliseconds
+	 * @param graceMs - time after which connections without an exchange are closed, in milliseconds; until then, requests in transit are accepted
+	 * @param bodyTimeoutMs - time after which requests whose body is still incomplete are aborted, in milliseconds
 	 */
 	async close(graceMs: number, bodyTimeoutMs: number): Promise<void> {
 		this.#isClosing = true;
 		const timers = [
 			setTimeout(() => {
-				this.#endWithoutExchange();
+				this.#closeWithoutExchange();
 			}, graceMs),
 			setTimeout(() => {
-				this.#endSlowSenders();
+				this.#abortIncompleteRequests();
 			}, bodyTimeoutMs),
 		];
 		await new Promise<void>(resolve => {
@@ -68,7 +67,7 @@
 		response.once('close', () => {
 			this.#exchanges.delete(response);
 			if (this.#isClosing) {
-				// Node counts the connection as idle only after this event.
+				// Node.js considers the connection idle only after this event.
 				setImmediate(() => {
 					this.#server.closeIdleConnections();
 				});
@@ -76,7 +75,7 @@
 		});
 	}
 
-	#endWithoutExchange(): void {
+	#closeWithoutExchange(): void {
 		const busy = new Set([...this.#exchanges.values()].map(({socket}) => socket));
 		for (const socket of this.#sockets) {
 			if (!busy.has(socket)) {
@@ -85,7 +84,7 @@
 		}
 	}
 
-	#endSlowSenders(): void {
+	#abortIncompleteRequests(): void {
 		for (const request of this.#exchanges.values()) {
 			if (!request.complete) {
 				request.destroy();
--- a/packages/daemon/src/flags.ts
+++ b/packages/daemon/src/flags.ts
@@ -1,27 +1,27 @@
 /**
- * Reads the flags of a command line as they were written.
+ * Parser of command-line flags that keeps values as strings.
  *
- * By the runtime's own reader: cac turns values that look like numbers into numbers,
- * which makes 123 of the token `0123`. Cac prints the help.
+ * Uses `parseArgs` of Node.js because cac converts values that look like numbers, for example the token `0123` to 123. Cac is only used to print
+ * the help.
  */
 import {parseArgs, type ParseArgsConfig} from 'node:util';
 import {SettingsError} from './settings-error.js';
 
 export type Flag = {
-	/** Without the hyphens. */
+	/** Name without the leading hyphens. */
 	name: string;
-	/** One letter. */
+	/** One-letter alias. */
 	short?: string;
-	/** Takes no value. */
+	/** Whether the flag takes no value. */
 	isSwitch: boolean;
 };
 
 type OptionToken = Extract<NonNullable<ReturnType<typeof parseArgs>['tokens']>[number], {kind: 'option'}>;
 
-/** Values by flag; a switch is `true`, and `false` for `--no-name`. */
+/** Values by flag name; a switch is `'true'`, or `'false'` if given as `--no-name`. */
 export type Flags = Record<string, string>;
 
-/** Throws `SettingsError` naming what is unknown, lacks its value, or is no flag. */
+/** Parses the flags; throws `SettingsError` for the first argument that is unknown, has no value or is not a flag. */
 export function readFlags(flags: readonly Flag[], argv: readonly string[]): Flags {
 	const options: ParseArgsConfig['options'] = Object.fromEntries(flags.map(({name, short, isSwitch}) => [name, {
 		type: isSwitch ? 'boolean' : 'string', ...(short === undefined ? {} : {short}),
--- a/packages/daemon/src/http-server.ts
+++ b/packages/daemon/src/http-server.ts
@@ -1,5 +1,5 @@
 /**
- * HTTP servers of all programs: polka for the routes, with bounded bodies and errors that end in an answer.
+ * The HTTP server of all programs: routes by polka, limited body sizes, and a response for every error.
  */
 import {Buffer} from 'node:buffer';
 import {
@@ -10,44 +10,44 @@
 import {Connections} from './connections.js';
 import {listen} from './listen.js';
 
-/** Longest time for a request's headers, in milliseconds; slow senders do not hold a connection longer. */
+/** Timeout for the headers of a request, in milliseconds, so that slow senders do not occupy connections. */
 const headersTimeoutMs = 10_000;
 
-/** Longest time for a whole request, in milliseconds; 8 MiB arrive in it at 2.3 Mbit/s. */
+/** Timeout for a complete request, in milliseconds; enough for 8 MiB at 2.3 Mbit/s. */
 const requestTimeoutMs = 30_000;
 
-/** Most open connections of one server; a process has some thousand file descriptors. */
+/** Maximum number of open connections of one server; the file descriptors of a process are limited to some thousand. */
 const maxConnections = 10_000;
 
 /**
- * On closing, time for a connection without an exchange to bring the request that may be on its way, in milliseconds;
+ * Time after the start of the shutdown in which connections without an exchange may still deliver a request in transit, in milliseconds; equals
  * many round trips between data centres.
  */
 const closeGraceMs = 1000;
 
-/** How often slow senders are looked for, in milliseconds. */
+/** Interval of the check for slow senders, in milliseconds. */
 const checkMs = 1000;
 
-/** Greatest body, in bytes. */
+/** Maximum size of a request body, in bytes. */
 export const maxBodyBytes = 8 * 1024 * 1024;
 
 /**
  * - `too-large`: the body exceeds the limit
  * - `malformed`: the body is not JSON
- * - `cut-off`: the sender went away before the body was whole
+ * - `cut-off`: the request was aborted before its body was complete
  */
 export type HttpErrorCode = 'too-large' | 'malformed' | 'cut-off';
 
-/** A request that can not be read. */
+/** An error of a request that can't be read. */
 export class HttpError extends LayerError<HttpErrorCode> {
 	override readonly name = 'HttpError';
 }
 
-/** What a route is given. */
+/** The argument of a route's handler. */
 export type Exchange = {
 	request: IncomingMessage;
 	response: ServerResponse;
-	/** Parts of the path named in the route's pattern, decoded. */
+	/** Decoded path parameters by their names in the route's pattern. */
 	parameters: Record<string, string>;
 	query: URLSearchParams;
 };
@@ -58,17 +58,17 @@
 
 export type Method = 'get' | 'post' | 'put' | 'delete' | 'all';
 
-/** Answers an exchange whose handler has thrown; headers may have been sent already. */
+/** Sends the response to an exchange whose handler has thrown; its headers may already have been sent. */
 export type ErrorHandler = (error: unknown, exchange: Exchange) => void;
 
-/** Limits of a server; times in milliseconds. */
+/** Limits of a server; times are in milliseconds. */
 export type HttpLimits = {
 	headersTimeoutMs: number;
 	requestTimeoutMs: number;
-	/** How often slow senders are looked for. */
+	/** Interval of the check for slow senders. */
 	checkMs: number;
 	maxConnections: number;
-	/** On closing, how long a connection that has sent nothing is waited for. */
+	/** Time after the start of the shutdown in which connections without an exchange are kept open. */
 	closeGraceMs: number;
 };
 
@@ -76,7 +76,7 @@
 	headersTimeoutMs, requestTimeoutMs, checkMs, maxConnections, closeGraceMs,
 };
 
-/** A server with routes. */
+/** An HTTP server with routes. */
 export class HttpServer {
 	readonly server: Server;
 	readonly #routes = polka();
@@ -84,7 +84,7 @@
 	readonly #limits: HttpLimits;
 	readonly #connections: Connections;
 
-	constructor(onError: ErrorHandler = answerPlainly, limits: Partial<HttpLimits> = {}) {
+	constructor(onError: ErrorHandler = sendPlainError, limits: Partial<HttpLimits> = {}) {
 		this.#onError = onError;
 		this.#limits = {...defaultLimits, ...limits};
 		this.server = createServer({
@@ -96,7 +96,7 @@
 		this.#connections = new Connections(this.server);
 	}
 
-	/** Adds a route; `:name` in the path is a parameter, a final `*` matches the rest. */
+	/** Adds a route; `:name` in the path is a parameter, a final `*` matches the rest of the path. */
 	on(method: Method, path: string, handler: Handler): this {
 		this.#routes[method](path, (request, response) => {
 			void this.#handle(request, response, handler);
@@ -104,17 +104,17 @@
 		return this;
 	}
 
-	/** Listens on `ip:port`; resolves to the address in use. */
+	/** Listens on `ip:port`; resolves to the bound address. */
 	async listen(address: string): Promise<string> {
 		return listen(this.server, address);
 	}
 
-	/** Takes no new connections, ends idle ones; resolves when the open exchanges have ended. */
+	/** Stops accepting connections and closes idle ones; resolves when the open exchanges have ended. */
 	async close(): Promise<void> {
 		await this.#connections.close(this.#limits.closeGraceMs, this.#limits.requestTimeoutMs);
 	}
 
-	/** Ends all exchanges at once; for tests and stand-ins. */
+	/** Aborts all exchanges; for tests and stand-ins. */
 	async kill(): Promise<void> {
 		const closed = this.close();
 		this.server.closeAllConnections();
@@ -123,7 +123,7 @@
 
 	#route(request: IncomingMessage, response: ServerResponse): void {
 		try {
-			// Polka adds the fields that it needs to node's request.
+			// Polka adds the fields that it needs to the request of Node.js.
 			// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion
 			this.#routes.handler(request as Request, response);
 		} catch (error) {
@@ -148,7 +148,7 @@
 
 	#fail(error: unknown, exchange: Exchange): void {
 		if (!exchange.request.complete && !exchange.response.headersSent) {
-			// What is left of the body is not read, so the connection can't carry another request.
+			// The remaining body is not read, so the connection can't be reused.
 			exchange.response.setHeader('connection', 'close');
 		}
 
@@ -168,13 +168,13 @@
 	}
 }
 
-/** Not by `URL`: it takes a path that begins with `//` for a host. */
+/** Parses the query without `URL`, which would treat a path that begins with `//` as a host. */
 function readQuery(url: string): URLSearchParams {
 	const mark = url.indexOf('?');
 	return new URLSearchParams(mark === -1 ? '' : url.slice(mark));
 }
 
-function answerPlainly(error: unknown, {response}: Exchange): void {
+function sendPlainError(error: unknown, {response}: Exchange): void {
 	if (response.headersSent) {
 		response.destroy();
 		return;
@@ -183,7 +183,7 @@
 	sendJson(response, 400, {detail: String(error)});
 }
 
-/** Reads a whole body; throws `HttpError`. */
+/** Reads a complete body; throws `HttpError`. */
 export async function readBytes(request: IncomingMessage, limitBytes = maxBodyBytes): Promise<Uint8Array> {
 	if (Number(request.headers['content-length'] ?? 0) > limitBytes) {
 		throw createTooLarge(limitBytes);
@@ -192,7 +192,7 @@
 	const chunks: Uint8Array[] = [];
 	let size = 0;
 	try {
-		// The request is kept open on leaving early, so that the answer can tell why.
+		// The request is not destroyed when the loop ends early, so that the error response can still be sent.
 		for await (const chunk of request.iterator({destroyOnReturn: false}) as AsyncIterable<Uint8Array>) {
 			size += chunk.length;
 			if (size > limitBytes) {
@@ -216,7 +216,7 @@
 	return new HttpError('too-large', `the body exceeds ${limitBytes} bytes`);
 }
 
-/** Reads a JSON body, undefined if it is empty; throws `HttpError`. */
+/** Reads a JSON body; resolves to undefined if it is empty. Throws `HttpError`. */
 export async function readJson(request: IncomingMessage, limitBytes = maxBodyBytes): Promise<unknown> {
 	const bytes = await readBytes(request, limitBytes);
 	if (bytes.length === 0) {
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** What all programs share: settings, operational routes, listening and graceful shutdown. */
+/** Code that all programs use: settings, HTTP servers, operational routes and graceful shutdown. */
 export * from './bounded-output.js';
 export * from './http-server.js';
 export * from './listen.js';
--- a/packages/daemon/src/listen.ts
+++ b/packages/daemon/src/listen.ts
@@ -3,20 +3,20 @@
  */
 import type {Server} from 'node:http';
 
-/** Splits `ip:port`; IPv6 addresses stand in brackets. */
+/** Splits `ip:port`; IPv6 addresses are written in brackets. */
 export function parseAddress(address: string): {host: string; port: number} {
 	const colon = address.lastIndexOf(':');
 	const host = address.slice(0, colon).replaceAll(/[\[\]]/gv, '');
 	return {host, port: Number(address.slice(colon + 1))};
 }
 
-/** Whether an address can be reached from this machine only. */
+/** Returns whether an address can only be reached from this host. */
 export function isLoopback(address: string): boolean {
 	const {host} = parseAddress(address);
 	return host === '::1' || host === 'localhost' || host.startsWith('127.');
 }
 
-/** Listens; port 0 takes any free port. Resolves to the address in use. */
+/** Listens on `ip:port`, where port 0 selects any free port. Resolves to the bound address. */
 export async function listen(server: Server, address: string): Promise<string> {
 	const {host, port} = parseAddress(address);
 	await new Promise<void>((resolve, reject) => {
--- a/packages/daemon/src/operations.ts
+++ b/packages/daemon/src/operations.ts
@@ -1,13 +1,13 @@
 /**
- * The routes that every daemon has for those who run it: `/healthz`, `/readyz` and `/metrics`.
+ * The operational routes of every daemon: `/healthz`, `/readyz` and `/metrics`.
  */
 import type {Registry} from 'prom-client';
 import {sendJson, type HttpServer} from './http-server.js';
 
 /**
- * Adds the routes. Metrics are in the text format of Prometheus, or in JSON where that is asked for.
+ * Adds the routes. Metrics are in the Prometheus text format, or in JSON if the `accept` header is `application/json`.
  *
- * @param isReady - tells whether new work should come here
+ * @param isReady - returns whether new work should be sent to this process
  */
 export function addOperationRoutes(server: HttpServer, registry: Registry, isReady: () => boolean): void {
 	server.on('get', '/healthz', ({response}) => {
--- a/packages/daemon/src/run.ts
+++ b/packages/daemon/src/run.ts
@@ -1,19 +1,19 @@
 /**
- * The life of a daemon: start, then drain on SIGTERM or SIGINT, then exit.
+ * The lifecycle of a daemon: starts, drains on SIGTERM or SIGINT, then exits.
  */
 import process from 'node:process';
 import {describeError, type Log} from '@wasabiusher/shared';
 
 /** A running program. */
 export type Daemon = {
-	/** Takes no new work, finishes what is open, then resolves. */
+	/** Stops accepting new work; resolves when the open work is finished. */
 	drain(): Promise<void>;
 };
 
 /**
- * Runs a daemon until it has drained.
+ * Starts a daemon, and drains it when a signal is received.
  *
- * A second signal while draining changes nothing: a graceful shutdown cuts off no request.
+ * A second signal while draining is ignored, because a graceful shutdown does not abort requests.
  */
 export async function runDaemon(log: Log, start: () => Promise<Daemon>): Promise<void> {
 	let daemon: Daemon;
--- a/packages/daemon/src/settings-error.ts
+++ b/packages/daemon/src/settings-error.ts
@@ -1,9 +1,9 @@
 /**
- * The error of bad usage.
+ * The error of invalid settings.
  */
 import {LayerError} from '@wasabiusher/shared';
 
-/** A setting that is unknown or has a bad value; its message is one line that names the setting. */
+/** An unknown setting or an invalid value; the message is one line that names the setting. */
 export class SettingsError extends LayerError<'settings'> {
 	override readonly name = 'SettingsError';
 }
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -1,9 +1,8 @@
 /**
- * Settings of a program: flags and environment variables of the same names, checked by one schema.
+ * Settings of a program: flags and environment variables, validated by one schema.
  *
- * `--operator-tokens` and `WASABIUSHER_OPERATOR_TOKENS` set the same thing; the flag wins.
- * Variables of other programs may stand in the same environment, so an unknown variable
- * is no error; an unknown flag is.
+ * Each setting has a flag and a variable, such as `--operator-tokens` and `WASABIUSHER_OPERATOR_TOKENS`; the flag takes precedence. An unknown
+ * flag is an error. An unknown variable is ignored, because the environment may contain variables of other programs.
  */
 import process from 'node:process';
 import {cac} from 'cac';
@@ -11,13 +10,13 @@
 import {readFlags, type Flag, type Flags} from './flags.js';
 import {SettingsError} from './settings-error.js';
 
-/** Prefix of all environment variables read. */
+/** Prefix of the environment variables of all settings. */
 const environmentPrefix = 'WASABIUSHER_';
 
-/** Exit status for wrong usage, by convention. */
+/** Exit status for invalid usage, by convention. */
 export const usageStatus = 2;
 
-/** Turns `tableService` into `table-service`. */
+/** Converts a key to a flag name, for example `tableService` to `table-service`. */
 function toFlagName(name: string): string {
 	return name.replaceAll(/[A-Z]/gv, letter => `-${letter.toLowerCase()}`);
 }
@@ -26,7 +25,7 @@
 	return environmentPrefix + toFlagName(name).replaceAll('-', '_').toUpperCase();
 }
 
-/** One setting, as its schema describes it. */
+/** A setting, derived from its schema. */
 type Setting = Flag & {
 	/** Key in the schema. */
 	key: string;
@@ -41,8 +40,8 @@
 
 function formatDefault(schema: z.core.$ZodType): string | undefined {
 	const value: unknown = schema instanceof z.ZodDefault ? schema.def.defaultValue : undefined;
-	const isWorthTelling = ['string', 'number', 'boolean'].includes(typeof value) && value !== '';
-	return isWorthTelling ? String(value) : undefined;
+	const isPrintable = ['string', 'number', 'boolean'].includes(typeof value) && value !== '';
+	return isPrintable ? String(value) : undefined;
 }
 
 function listSettings(shape: z.ZodRawShape): Setting[] {
@@ -55,13 +54,13 @@
 	});
 }
 
-/** What is read of a command line. */
+/** The program's name and version, its arguments and its environment. */
 export type Arguments = {
 	program: string;
 	version: string;
 	argv: readonly string[];
 	environment: NodeJS.ProcessEnv;
-	/** Stands in the help above the settings. */
+	/** Description of the program, printed in the help above the settings. */
 	description?: string;
 };
 
@@ -70,7 +69,7 @@
 	{name: 'version', short: 'v', isSwitch: true},
 ];
 
-/** Prints what was asked for; cac lays it out. */
+/** Prints the help or the version, whichever was requested, in the layout of cac. */
 function printHelp(settings: readonly Setting[], {program, version, argv, description}: Arguments): void {
 	const cli = cac(program);
 	const command = cli.command('', description ?? `Runs ${program}`).usage('[--setting value]...');
@@ -85,12 +84,12 @@
 }
 
 /**
- * Reads and checks a program's settings.
+ * Reads and validates a program's settings.
  *
- * Values reach the schema as strings, so it uses `z.coerce` for numbers and `z.stringbool` for switches.
- * A setting gets a one-letter flag by `.meta({description, short})`.
- * @returns the settings, or undefined when `--help` or `--version` was asked for and printed
- * @throws {SettingsError} naming the first unknown or bad setting
+ * The schema receives all values as strings, so it must use `z.coerce` for numbers and `z.stringbool` for switches.
+ * `.meta({description, short})` gives a setting a one-letter flag.
+ * @returns the settings, or undefined if `--help` or `--version` was requested and has been printed
+ * @throws {SettingsError} for the first unknown or invalid setting
  */
 export function parseSettings<Shape extends z.ZodRawShape>(schema: z.ZodObject<Shape>, given: Arguments): z.infer<z.ZodObject<Shape>> | undefined {
 	const settings = listSettings(schema.shape);
@@ -128,7 +127,7 @@
 	const origin = origins[key];
 	const setting = settings.find(other => other.key === key);
 	if (setting && origin === undefined) {
-		// A rule over several settings says itself when this one is needed.
+		// A refinement over several settings explains in its message when this one is required.
 		const needed = code === 'custom' ? `: ${message}` : ' is required';
 		return new SettingsError('settings', `setting --${setting.name}${needed} (or ${setting.variable})`);
 	}
@@ -137,7 +136,7 @@
 }
 
 /**
- * Reads the settings of this process; prints a one-line error and exits with status 2 if they are bad.
+ * Reads the settings of this process; prints a one-line error and exits with status 2 if they are invalid.
  */
 export function loadSettings<Shape extends z.ZodRawShape>(program: string, version: string, schema: z.ZodObject<Shape>): z.infer<z.ZodObject<Shape>> {
 	try {
