--- a/packages/backends/src/http-engine.ts
+++ b/packages/backends/src/http-engine.ts
@@ -10,7 +10,7 @@
 import {PlatformError} from './errors.js';
 import {readGeneration} from './generation-stream.js';
 import {
-	callBytes, callEmpty, callHttp, callJson, noteFailure,
+	callBytes, callEmpty, callHttp, callJson, handleFailure,
 } from './http.js';
 
 /** Maximum time between two chunks of a stream, in milliseconds; engines generate several tokens per second. */
@@ -83,7 +83,7 @@
 				yield event;
 			}
 		} catch (error) {
-			throw noteFailure(this.#origin, error);
+			throw handleFailure(this.#origin, error);
 		} finally {
 			this.#release(body, finished !== undefined);
 		}
--- a/packages/backends/src/http-plain-service.ts
+++ b/packages/backends/src/http-plain-service.ts
@@ -4,7 +4,7 @@
 import type {Dispatcher} from 'undici';
 import type {PlainEvent, PlainRequest, PlainService} from './endpoint.js';
 import {PlatformError} from './errors.js';
-import {callEmpty, noteFailure, sendRequest} from './http.js';
+import {callEmpty, handleFailure, sendRequest} from './http.js';
 
 /** Maximum wait for the headers and between two chunks of the body, in milliseconds; the caller's deadline is shorter. */
 const forwardTimeoutMs = 60_000;
@@ -76,7 +76,7 @@
 				yield {kind: 'body', chunk};
 			}
 		} catch (error) {
-			throw noteFailure(this.#origin, error);
+			throw handleFailure(this.#origin, error);
 		} finally {
 			// If the consumer stops early, an unread body would occupy the connection. Destroying a body that was read to its end has no effect.
 			response.body.destroy();
--- a/packages/backends/src/http.ts
+++ b/packages/backends/src/http.ts
@@ -67,12 +67,12 @@
 	try {
 		return await connections.send(origin, options);
 	} catch (error) {
-		throw noteFailure(origin, error);
+		throw handleFailure(origin, error);
 	}
 }
 
 /** Converts a failure to a `PlatformError`, and retires the connections of the origin if a connection went silent. */
-export function noteFailure(origin: string, error: unknown): PlatformError {
+export function handleFailure(origin: string, error: unknown): PlatformError {
 	if (isSilence(error)) {
 		connections.retire(origin);
 	}
@@ -113,7 +113,7 @@
 		const {body} = await callHttp({...call, signal: deadline.signal});
 		return await read(body);
 	} catch (error) {
-		throw noteFailure(origin, error);
+		throw handleFailure(origin, error);
 	} finally {
 		clearTimeout(timer);
 	}
--- a/packages/link/src/handshake.ts
+++ b/packages/link/src/handshake.ts
@@ -8,7 +8,7 @@
 import {
 	protocolVersion, type Message, type MessageKind, type MessageOf,
 } from './messages.js';
-import {createNonce, createProof, findProvingKey} from './proof.js';
+import {createNonce, createProof, findMatchingKey} from './proof.js';
 
 /** The valid keys: the first one signs own proofs, all of them verify proofs of peers. */
 export type LinkKeys = readonly [string, ...string[]];
@@ -60,7 +60,7 @@
 	const hello = await receiveOne(inbox, 'hello', handshakeMs);
 	checkProtocol(hello.protocol);
 	const nonces = [nonce, hello.nonce] as const;
-	const key = findProvingKey(readKeys(identity), hello.proof, {side: 'hello', sender: hello.sender, nonces});
+	const key = findMatchingKey(readKeys(identity), hello.proof, {side: 'hello', sender: hello.sender, nonces});
 	checkProof(key !== undefined, hello.sender);
 	socket.send(encodeMessage({
 		kind: 'welcome', protocol: protocolVersion, sender: name, proof: createProof(key!, {side: 'welcome', sender: name, nonces}),
@@ -84,6 +84,6 @@
 	}));
 	const welcome = await receiveOne(inbox, 'welcome', handshakeMs);
 	checkProtocol(welcome.protocol);
-	checkProof(findProvingKey(keys, welcome.proof, {side: 'welcome', sender: welcome.sender, nonces}) !== undefined, welcome.sender);
+	checkProof(findMatchingKey(keys, welcome.proof, {side: 'welcome', sender: welcome.sender, nonces}) !== undefined, welcome.sender);
 	return welcome.sender;
 }
--- a/packages/link/src/link.ts
+++ b/packages/link/src/link.ts
@@ -9,7 +9,7 @@
 import type {Message} from './messages.js';
 import {Outbox} from './outbox.js';
 
-/** WebSocket close code of an endpoint that is going away (RFC 6455, section 7.4.1). */
+/** WebSocket close code of a peer that is shutting down ("going away", RFC 6455, section 7.4.1). */
 const goingAwayCode = 1001;
 
 /** Callbacks of a link. */
--- a/packages/link/src/proof.ts
+++ b/packages/link/src/proof.ts
@@ -26,7 +26,7 @@
 }
 
 /** Finds the key that the proof was created with; undefined if it is none of the given keys. */
-export function findProvingKey(keys: readonly string[], proof: string, statement: Statement): string | undefined {
+export function findMatchingKey(keys: readonly string[], proof: string, statement: Statement): string | undefined {
 	const given = Buffer.from(proof, 'hex');
 	return keys.find(key => {
 		const expected = Buffer.from(createProof(key, statement), 'hex');
