--- a/packages/agent/__tests__/agent.bench.ts
+++ b/packages/agent/__tests__/agent.bench.ts
@@ -5,7 +5,7 @@
  * Run with `npx tsx packages/agent/__tests__/agent.bench.ts`.
  */
 import process from 'node:process';
-import {acknowledgeEvery, LinkClient, type MessageOf} from '@wasabiusher/link';
+import {maxUnacknowledgedParts, LinkClient, type MessageOf} from '@wasabiusher/link';
 import {createSilentLog, Random, type PriorityClass} from '@wasabiusher/shared';
 import {EngineServer, PlatformServer} from '@wasabiusher/standins';
 import {Agent, agentSettingsSchema} from '../src/index.js';
@@ -102,7 +102,7 @@
 			this.tokens += event.parts.reduce((sum, {tokens}) => sum + tokens, 0);
 		}
 
-		if (isLast || (sequence + 1) % acknowledgeEvery === 0) {
+		if (isLast || (sequence + 1) % maxUnacknowledgedParts === 0) {
 			this.#client.send({
 				kind: 'acknowledge', request, attempt, next: sequence + 1,
 			});
--- a/packages/decisions/src/direct-choice.ts
+++ b/packages/decisions/src/direct-choice.ts
@@ -5,7 +5,7 @@
  * the slow one gets as many as the others and every batch waits for it. Each endpoint is weighed by its expected completion time: its open requests over
  * its slots, times its pace relative to the median pace.
  */
-import {findMiddle} from '@wasabiusher/shared';
+import {findLowerMedian} from '@wasabiusher/shared';
 
 /** An endpoint that could take an attempt. */
 export type DirectCandidate = {
@@ -127,7 +127,7 @@
 
 /** Returns the median of the measured paces, in milliseconds per unit of work; undefined if there are none. */
 export function findMedianPaceMs(candidates: readonly DirectCandidate[]): number | undefined {
-	return findMiddle(candidates.flatMap(({paceMs}) => paceMs === undefined ? [] : [paceMs]));
+	return findLowerMedian(candidates.flatMap(({paceMs}) => paceMs === undefined ? [] : [paceMs]));
 }
 
 /**
--- a/packages/decisions/src/expected-headroom.ts
+++ b/packages/decisions/src/expected-headroom.ts
@@ -5,7 +5,7 @@
  * as well. A report is valid for the duration of a few requests. If it is trusted for a second, calls avoid slots that are free; if it is ignored, a
  * burst goes to endpoints that are full.
  */
-import {findMiddle} from '@wasabiusher/shared';
+import {findLowerMedian} from '@wasabiusher/shared';
 import {defaultWorkMs} from './retry-after-plan.js';
 
 /** Known occupancy of an endpoint. */
@@ -28,7 +28,7 @@
 
 /** Returns the pace above which an endpoint of a service counts as slow, in milliseconds; undefined until some were measured. */
 export function findSlowPaceMs(pacesMs: ReadonlyArray<number | undefined>): number | undefined {
-	const medianMs = findMiddle(pacesMs.filter(paceMs => paceMs !== undefined));
+	const medianMs = findLowerMedian(pacesMs.filter(paceMs => paceMs !== undefined));
 	return medianMs === undefined ? undefined : slowPaceFactor * medianMs;
 }
 
--- a/packages/link/src/messages.ts
+++ b/packages/link/src/messages.ts
@@ -266,4 +266,4 @@
  * Maximum number of parts that an entry receives before it acknowledges; it always acknowledges after `finished`.
  * A quarter of the window of an answer, so that a stream never stalls for want of an acknowledgement.
  */
-export const acknowledgeEvery = 16;
+export const maxUnacknowledgedParts = 16;
--- a/packages/logs/src/host-clocks.ts
+++ b/packages/logs/src/host-clocks.ts
@@ -5,7 +5,7 @@
  * between a host's time and the median of all hosts is a sample of its clock's offset. The median over many events ignores single events that
  * a host received late.
  */
-import {findMiddle} from '@wasabiusher/shared';
+import {findLowerMedian} from '@wasabiusher/shared';
 import type {LogLine} from './line.js';
 
 /** Events that all hosts log, with the keys whose values identify one occurrence. */
@@ -60,12 +60,12 @@
 	findOffsets(): Map<string, number> {
 		const offsets = new Map<string, number[]>();
 		for (const times of this.#timesByEvent.values()) {
-			const median = findMiddle([...times.values()])!;
+			const median = findLowerMedian([...times.values()])!;
 			for (const [host, timeMs] of times) {
 				offsets.set(host, [...offsets.get(host) ?? [], timeMs - median]);
 			}
 		}
 
-		return new Map([...offsets].map(([host, samples]) => [host, findMiddle(samples)!] as const).filter(([, offset]) => Math.abs(offset) >= minOffsetMs));
+		return new Map([...offsets].map(([host, samples]) => [host, findLowerMedian(samples)!] as const).filter(([, offset]) => Math.abs(offset) >= minOffsetMs));
 	}
 }
--- a/packages/shared/__tests__/collections.spec.ts
+++ b/packages/shared/__tests__/collections.spec.ts
@@ -1,5 +1,5 @@
 import {expect} from 'chai';
-import {dropOldest, findMiddle} from '../src/index.js';
+import {dropOldest, findLowerMedian} from '../src/index.js';
 
 describe('dropOldest', () => {
 	it('removes the oldest entries of maps and sets, and none within the maximum size', () => {
@@ -16,6 +16,6 @@
 
 describe('findMiddle', () => {
 	it('returns the lower median in any order of the values, and undefined if there are none', () => {
-		expect([findMiddle([9, 1, 5]), findMiddle([4, 3]), findMiddle([])]).to.deep.equal([5, 3, undefined]);
+		expect([findLowerMedian([9, 1, 5]), findLowerMedian([4, 3]), findLowerMedian([])]).to.deep.equal([5, 3, undefined]);
 	});
 });
--- a/packages/shared/src/collections.ts
+++ b/packages/shared/src/collections.ts
@@ -14,6 +14,6 @@
 }
 
 /** Returns the lower median of the values; undefined if there are none. */
-export function findMiddle(values: readonly number[]): number | undefined {
+export function findLowerMedian(values: readonly number[]): number | undefined {
 	return values.toSorted((a, b) => a - b)[Math.floor((values.length - 1) / 2)];
 }
--- a/packages/systems/src/answer-buffer.ts
+++ b/packages/systems/src/answer-buffer.ts
@@ -4,13 +4,13 @@
  * It lets a replaced link resume where the old one stopped, and bounds the memory that a slow
  * reader can occupy at the agent.
  */
-import {acknowledgeEvery, type AnswerEvent} from '@wasabiusher/link';
+import {maxUnacknowledgedParts, type AnswerEvent} from '@wasabiusher/link';
 
 /**
  * Maximum number of unacknowledged events; at this number, reading from the endpoint stops. Four times the
  * number after which an entry acknowledges, so that the acknowledgements do not delay a stream.
  */
-export const windowEvents = 4 * acknowledgeEvery;
+export const windowEvents = 4 * maxUnacknowledgedParts;
 
 /** Maximum size of a body chunk in one event, in bytes. Larger chunks are split. */
 export const maxChunkBytes = 32 * 1024;
@@ -19,7 +19,7 @@
  * Maximum number of unacknowledged bytes: twice the size of the largest chunks that an entry receives before it
  * acknowledges. This is 1 MiB per answer, and a body can still use 1 Gbit/s at a round trip of 4 ms.
  */
-export const windowBytes = 2 * acknowledgeEvery * maxChunkBytes;
+export const windowBytes = 2 * maxUnacknowledgedParts * maxChunkBytes;
 
 /** Estimated size of an event without its content, in bytes: names, numbers and the object itself. */
 const envelopeBytes = 100;
--- a/packages/systems/src/dispatcher-attempt.ts
+++ b/packages/systems/src/dispatcher-attempt.ts
@@ -5,7 +5,7 @@
  * confirms that the work has stopped.
  */
 import {
-	acknowledgeEvery, type AnswerEvent, type Message, type MessageOf,
+	maxUnacknowledgedParts, type AnswerEvent, type Message, type MessageOf,
 } from '@wasabiusher/link';
 import type {Ran} from '@wasabiusher/shared';
 import {toOutcome, type AttemptOutcome} from './dispatcher-outcome.js';
@@ -164,7 +164,7 @@
 
 		this.#next += 1;
 		const isLast = event.kind === 'finished';
-		if (isLast || (!this.#isPaused && this.#next - this.#acknowledged >= acknowledgeEvery)) {
+		if (isLast || (!this.#isPaused && this.#next - this.#acknowledged >= maxUnacknowledgedParts)) {
 			this.#sendAcknowledge();
 		}
 
