--- a/packages/decisions/__tests__/attempt-backoff.spec.ts
+++ b/packages/decisions/__tests__/attempt-backoff.spec.ts
@@ -2,7 +2,7 @@
 import {expect} from 'chai';
 import {AttemptBackoff} from '../src/index.js';
 
-describe('AttemptPause', () => {
+describe('AttemptBackoff', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -15,22 +15,22 @@
 
 	it('allows one attempt at a time while an endpoint loads, and all attempts soon after it has loaded', async () => {
 		const loadedAt = 900;
-		const pause = new AttemptBackoff({initialMs: 50, maxMs: 150});
+		const backoff = new AttemptBackoff({initialMs: 50, maxMs: 150});
 		let refused = 0;
 		let firstSuccessAt: number | undefined;
 		// Twenty samples wait; each tries as soon as it is allowed to, and is answered after 5 ms.
 		const attempt = () => {
-			pause.begin();
+			backoff.begin();
 			setTimeout(() => {
 				if (performance.now() < loadedAt) {
 					refused += 1;
-					pause.record();
+					backoff.record();
 				} else {
 					firstSuccessAt ??= performance.now();
-					pause.recordSuccess();
+					backoff.recordSuccess();
 				}
 
-				pause.end();
+				backoff.end();
 			}, 5);
 		};
 
@@ -41,7 +41,7 @@
 		for (let ms = 0; ms < 1200; ms += 5) {
 			// eslint-disable-next-line no-await-in-loop
 			await clock.tickAsync(5);
-			for (let i = 0; i < 20 && pause.canAttempt; i += 1) {
+			for (let i = 0; i < 20 && backoff.canAttempt; i += 1) {
 				attempt();
 			}
 		}
@@ -52,13 +52,13 @@
 	});
 
 	it('allows the next attempt after one has ended without an answer', () => {
-		const pause = new AttemptBackoff({initialMs: 50, maxMs: 150});
-		pause.record();
+		const backoff = new AttemptBackoff({initialMs: 50, maxMs: 150});
+		backoff.record();
 		clock.tick(50);
-		expect(pause.canAttempt).to.equal(true);
-		pause.begin();
-		expect(pause.canAttempt).to.equal(false);
-		pause.end();
-		expect(pause.canAttempt).to.equal(true);
+		expect(backoff.canAttempt).to.equal(true);
+		backoff.begin();
+		expect(backoff.canAttempt).to.equal(false);
+		backoff.end();
+		expect(backoff.canAttempt).to.equal(true);
 	});
 });
--- a/packages/decisions/__tests__/batch-shares.spec.ts
+++ b/packages/decisions/__tests__/batch-shares.spec.ts
@@ -59,8 +59,8 @@
 		const small = Array.from({length: 40}, (_, i) => createCandidate(`c${100 + i}`, {dataCentre: `d${i % 5}`, cores: 0.243}));
 		const endpoints = new Map(Array.from({length: 5}, (_, i) => [`d${i}`, 5]));
 		const chosen = chooseWorkers([...small, ...large], createRequest({count: 5, samples: 32, endpoints}));
-		const places = chosen.map(id => large.find(candidate => candidate.id === id)?.dataCentre);
-		expect(places.toSorted((a, b) => a! < b! ? -1 : 1)).to.deep.equal(['d0', 'd1', 'd2', 'd3', 'd4']);
+		const dataCentres = chosen.map(id => large.find(candidate => candidate.id === id)?.dataCentre);
+		expect(dataCentres.toSorted((a, b) => a! < b! ? -1 : 1)).to.deep.equal(['d0', 'd1', 'd2', 'd3', 'd4']);
 	});
 
 	it('assigns no new share to a host that misses heartbeats or lags, and uses a small one rather than none', () => {
@@ -72,8 +72,8 @@
 	});
 
 	it('prefers the deciding host if it has free capacity, and otherwise the one with the most', () => {
-		const here = createCandidate('c1', {isHere: true, cores: 0.243});
-		const candidates = [here, createCandidate('c2', {samples: 40}), createCandidate('c3')];
+		const decidingHost = createCandidate('c1', {isHere: true, cores: 0.243});
+		const candidates = [decidingHost, createCandidate('c2', {samples: 40}), createCandidate('c3')];
 		expect(chooseWorkers(candidates, createRequest({samples: 4}))).to.deep.equal(['c1']);
 		expect(chooseWorkers(candidates, createRequest({samples: 30}))).to.deep.equal(['c3']);
 	});
--- a/packages/decisions/__tests__/burn-rate.spec.ts
+++ b/packages/decisions/__tests__/burn-rate.spec.ts
@@ -9,19 +9,19 @@
 	return mapBurnWindows(window => counts.countOver(window, now));
 }
 
-/** Records ten requests a minute for some minutes, of which some fail from a given minute on. */
-function observe(minutes: number, failing: (minute: number) => number): {counts: ObjectiveCounts; now: number} {
+/** Records ten requests a minute, of which `countFailed` returns the number that fail in a minute. */
+function observe(minutes: number, countFailed: (minute: number) => number): {counts: ObjectiveCounts; now: number} {
 	const counts = new ObjectiveCounts(0);
 	for (let minute = 0; minute < minutes; minute += 1) {
 		for (let i = 0; i < 10; i += 1) {
-			counts.record(i >= failing(minute), minute * minuteMs);
+			counts.record(i >= countFailed(minute), minute * minuteMs);
 		}
 	}
 
 	return {counts, now: (minutes * minuteMs) - 1};
 }
 
-describe('burn', () => {
+describe('burn rate', () => {
 	it('counts the events of each window and drops those older than the longest', () => {
 		const {counts, now} = observe(400, () => 1);
 		expect(burnWindowNames.map(window => counts.countOver(window, now).total)).to.deep.equal([50, 300, 600, 3600]);
--- a/packages/decisions/__tests__/checkpoint-order.spec.ts
+++ b/packages/decisions/__tests__/checkpoint-order.spec.ts
@@ -9,13 +9,13 @@
 
 describe('orderCheckpoint', () => {
 	it('puts long generations first, then those with many unwritten events, and those that are the last missing ones of their group', () => {
-		const texts = [
+		const generations = [
 			createGeneration('usual'),
 			createGeneration('long', {events: 140, writtenEvents: 120}),
 			createGeneration('unwritten', {writtenEvents: 0}),
 			createGeneration('alone', {lacking: 1}),
 		];
-		expect(orderCheckpoint(texts)).to.deep.equal(['alone', 'long', 'unwritten', 'usual']);
+		expect(orderCheckpoint(generations)).to.deep.equal(['alone', 'long', 'unwritten', 'usual']);
 	});
 
 	it('leaves out generations with few new events', () => {
--- a/packages/decisions/__tests__/commit-order.spec.ts
+++ b/packages/decisions/__tests__/commit-order.spec.ts
@@ -42,10 +42,10 @@
 			createList('whole', {completes: 1, addedAt: 9}),
 		];
 		const order: string[] = [];
-		for (let left = lists; left.length > 0;) {
-			const chosen = chooseCommit(left, 0)!;
+		for (let remaining = lists; remaining.length > 0;) {
+			const chosen = chooseCommit(remaining, 0)!;
 			order.push(chosen.name);
-			left = left.filter(list => list !== chosen);
+			remaining = remaining.filter(list => list !== chosen);
 		}
 
 		expect(order).to.deep.equal(['whole', 'urgent', 'near', 'old']);
@@ -53,7 +53,7 @@
 
 	it('gives a quarter of the rounds to the oldest list, even if others always complete groups', () => {
 		const lists = [createList('old'), createList('whole', {completes: 1, addedAt: 9})];
-		const names = Array.from({length: 8}, (_, turn) => chooseCommit(lists, turn)!.name);
+		const names = Array.from({length: 8}, (_, round) => chooseCommit(lists, round)!.name);
 		expect(names.filter(name => name === 'old')).to.have.length(2);
 	});
 });
--- a/packages/decisions/__tests__/concurrency-limit.spec.ts
+++ b/packages/decisions/__tests__/concurrency-limit.spec.ts
@@ -103,7 +103,7 @@
 	});
 });
 
-describe('LaggingLoad', () => {
+describe('LoadEstimator', () => {
 	it('adds the requests sent since the report was measured', () => {
 		const load = new LoadEstimator();
 		load.recordSent(100);
--- a/packages/decisions/__tests__/direct-choice.spec.ts
+++ b/packages/decisions/__tests__/direct-choice.spec.ts
@@ -69,7 +69,7 @@
 	});
 });
 
-describe('listBetter', () => {
+describe('listFasterEndpoints', () => {
 	const fast = createCandidate('fast');
 
 	it('leaves an endpoint that is much slower than another with free capacity', () => {
--- a/packages/decisions/__tests__/ejection.spec.ts
+++ b/packages/decisions/__tests__/ejection.spec.ts
@@ -28,7 +28,7 @@
 	return Number.POSITIVE_INFINITY;
 }
 
-/** Returns the milliseconds until a recovered endpoint is in use again; probes take 100 ms. */
+/** Returns the time until a recovered endpoint is in use again, in milliseconds; probes take 100 ms. */
 function measureRestoreMs(ejection: Ejection, endpoint: string, from: number): number {
 	for (let now = from; now < from + 60_000; now += 100) {
 		if (!ejection.isEjected(endpoint)) {
--- a/packages/decisions/__tests__/expected-headroom.spec.ts
+++ b/packages/decisions/__tests__/expected-headroom.spec.ts
@@ -7,14 +7,14 @@
 	};
 }
 
-describe('isRoomExpected', () => {
+describe('hasExpectedHeadroom', () => {
 	it('allows one open request more than slots, so that none is idle for a round trip', () => {
 		expect([4, 5].map(open => hasExpectedHeadroom(createOccupancy({open})))).to.deep.equal([true, false]);
 	});
 
 	it('trusts the reported requests of others until they have probably ended', () => {
-		const rooms = [0, 19, 20].map(ageMs => createOccupancy({open: 1, openElsewhere: 5, ageMs}));
-		expect(rooms.map(room => hasExpectedHeadroom(room))).to.deep.equal([false, false, true]);
+		const occupancies = [0, 19, 20].map(ageMs => createOccupancy({open: 1, openElsewhere: 5, ageMs}));
+		expect(occupancies.map(occupancy => hasExpectedHeadroom(occupancy))).to.deep.equal([false, false, true]);
 	});
 
 	it('always counts the open requests of this process', () => {
@@ -22,7 +22,7 @@
 	});
 });
 
-describe('findSlowPace', () => {
+describe('findSlowPaceMs', () => {
 	it('exceeds the difference between healthy endpoints, and is unknown until some were measured', () => {
 		expect(findSlowPaceMs([undefined, 30, 25, 75])).to.be.within(40, 74);
 		expect(findSlowPaceMs([undefined])).to.equal(undefined);
--- a/packages/decisions/__tests__/fair-queue.spec.ts
+++ b/packages/decisions/__tests__/fair-queue.spec.ts
@@ -93,16 +93,16 @@
 		const queue = new FairQueue<Ticket>();
 		pushMany(queue, 100, {caller: 'steady', cost: 1});
 		pushMany(queue, 1, {caller: 'flicker', cost: 10});
-		let flicker = 0;
+		let returningWork = 0;
 		for (let i = 0; i < 44; i++) {
 			const ticket = queue.pop()!;
 			if (ticket.caller === 'flicker') {
-				flicker += ticket.cost;
+				returningWork += ticket.cost;
 				pushMany(queue, 1, {caller: 'flicker', cost: 10});
 			}
 		}
 
-		expect(flicker).to.be.within(30, 50);
+		expect(returningWork).to.be.within(30, 50);
 	});
 
 	it('refuses a job beyond its caller\'s bound, and accepts those of others', () => {
@@ -117,12 +117,12 @@
 
 	it('doesn\'t charge a caller for a job that was removed unserved', () => {
 		const queue = new FairQueue<Ticket>();
-		const dear = createTicket({caller: 'a', cost: 1000});
-		queue.push(dear, dear);
+		const expensive = createTicket({caller: 'a', cost: 1000});
+		queue.push(expensive, expensive);
 		pushMany(queue, 10, {caller: 'a'});
 		pushMany(queue, 10, {caller: 'b'});
-		expect(queue.remove(dear.id)).to.equal(dear);
-		expect(queue.remove(dear.id)).to.equal(undefined);
+		expect(queue.remove(expensive.id)).to.equal(expensive);
+		expect(queue.remove(expensive.id)).to.equal(undefined);
 		expect(serve(queue, 10, 'caller')).to.deep.equal({a: 5, b: 5});
 	});
 
--- a/packages/decisions/__tests__/load-timing.spec.ts
+++ b/packages/decisions/__tests__/load-timing.spec.ts
@@ -2,8 +2,8 @@
 import {shouldLoad, type PublishedVersion} from '../src/index.js';
 
 const loadMs = 1000;
-const textMs = 1000;
-const slotsEach = 6;
+const generationMs = 1000;
+const slotsPerEndpoint = 6;
 
 function createVersion(changed: Partial<PublishedVersion> = {}): PublishedVersion {
 	return {
@@ -16,8 +16,8 @@
  *
  * @returns times at which its last generation begins and the last endpoint has loaded, in milliseconds
  */
-function replay(generations: number, decide: (occasion: PublishedVersion) => boolean): {begunMs: number; loadedMs: number} {
-	const endpoints = Array.from({length: 8}, () => ({loadsUntil: 0, isNew: false, ends: Array.from({length: slotsEach}, () => 0)}));
+function replay(generations: number, decide: (version: PublishedVersion) => boolean): {begunMs: number; loadedMs: number} {
+	const endpoints = Array.from({length: 8}, () => ({loadsUntil: 0, isNew: false, ends: Array.from({length: slotsPerEndpoint}, () => 0)}));
 	let waiting = generations;
 	let begunMs = 0;
 	let loadedMs = 0;
@@ -35,7 +35,7 @@
 		for (const {ends} of endpoints.filter(({loadsUntil}) => loadsUntil <= now)) {
 			for (const [i, end] of ends.entries()) {
 				if (end <= now && waiting > 0) {
-					ends[i] = now + textMs;
+					ends[i] = now + generationMs;
 					waiting -= 1;
 					begunMs = now;
 				}
@@ -72,7 +72,7 @@
 
 	it('starts all generations of a step earlier than loads at a fixed time, and loads all endpoints before the next publication', () => {
 		const fixed = replay(96, ({sinceMs}) => sinceMs >= 300);
-		const timed = replay(96, occasion => shouldLoad(occasion, 300));
+		const timed = replay(96, version => shouldLoad(version, 300));
 		expect(timed.begunMs).to.be.at.most(fixed.begunMs - 300);
 		expect(timed.loadedMs).to.be.lessThan(4000);
 	});
--- a/packages/decisions/__tests__/poison.spec.ts
+++ b/packages/decisions/__tests__/poison.spec.ts
@@ -73,6 +73,8 @@
 });
 
 /**
+ * Returns the number of endpoints that crash within ten rounds.
+ *
  * Three entries receive crash records one round late; the caller retries through all of them each round.
  * Suspects meet at one endpoint, whose agent runs one of them at a time and reports its crash to the others.
  */
--- a/packages/decisions/__tests__/regenerations.spec.ts
+++ b/packages/decisions/__tests__/regenerations.spec.ts
@@ -7,10 +7,10 @@
 	};
 }
 
-describe('chooseRenewals', () => {
+describe('chooseRegenerations', () => {
 	it('regenerates long generations of older weights, longest first', () => {
-		const texts = [createCandidate(), createCandidate({id: 'b', events: 150}), createCandidate({id: 'c', events: 20})];
-		expect(chooseRegenerations(texts, 2)).to.deep.equal(['b', 'a']);
+		const candidates = [createCandidate(), createCandidate({id: 'b', events: 150}), createCandidate({id: 'c', events: 20})];
+		expect(chooseRegenerations(candidates, 2)).to.deep.equal(['b', 'a']);
 	});
 
 	it('leaves out generations of the newest weights and those already regenerated', () => {
--- a/packages/decisions/__tests__/retry-after-plan.spec.ts
+++ b/packages/decisions/__tests__/retry-after-plan.spec.ts
@@ -7,9 +7,9 @@
 /**
  * Replays a burst of callers at endpoints of two slots each; a refused caller returns after its retry-after time.
  *
- * @returns total number of attempts and the time by which all are served
+ * @returns total number of attempts and the time by which all are served, in milliseconds
  */
-async function replay(clock: Clock, callers: number, findRetryAfterMs: (rooms: EndpointBacklog[]) => number): Promise<{attempts: number; servedMs: number}> {
+async function replay(clock: Clock, callers: number, findRetryAfterMs: (backlogs: EndpointBacklog[]) => number): Promise<{attempts: number; servedMs: number}> {
 	const endpoints = [{running: 0}, {running: 0}];
 	let served = 0;
 	const startedAt = performance.now();
@@ -42,7 +42,7 @@
 	return {attempts, servedMs};
 }
 
-describe('ReturnPlan', () => {
+describe('RetryAfterPlan', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -55,18 +55,18 @@
 
 	it('serves a burst with less than half of the attempts of a common retry-after time, and not later', async () => {
 		const plan = new RetryAfterPlan();
-		const planned = await replay(clock, 40, rooms => plan.plan(rooms));
+		const planned = await replay(clock, 40, backlogs => plan.plan(backlogs));
 		const constant = await replay(clock, 40, () => 100);
 		expect(planned.attempts).to.be.below(constant.attempts / 2);
 		expect(planned.servedMs).to.be.at.most(constant.servedMs * 1.1);
 	});
 
 	it('returns the time until a slot is free, from the waiting requests and their duration', () => {
-		const room = {
+		const backlog = {
 			slots: 4, running: 4, waiting: 7, workMs: 50,
 		};
-		expect(new RetryAfterPlan().plan([room])).to.equal(100);
-		expect(new RetryAfterPlan().plan([room, {...room, waiting: 0}])).to.equal(20);
+		expect(new RetryAfterPlan().plan([backlog])).to.equal(100);
+		expect(new RetryAfterPlan().plan([backlog, {...backlog, waiting: 0}])).to.equal(20);
 	});
 
 	it('never exceeds the time that callers will wait, and has a default while nothing is known', () => {
@@ -81,11 +81,11 @@
 
 	it('starts again once the refused callers have returned', async () => {
 		const plan = new RetryAfterPlan();
-		const room = {
+		const backlog = {
 			slots: 1, running: 1, waiting: 0, workMs: 100,
 		};
-		expect([plan.plan([room]), plan.plan([room]), plan.plan([room])]).to.deep.equal([100, 170, 240]);
+		expect([plan.plan([backlog]), plan.plan([backlog]), plan.plan([backlog])]).to.deep.equal([100, 170, 240]);
 		await clock.tickAsync(1000);
-		expect(plan.plan([room])).to.equal(100);
+		expect(plan.plan([backlog])).to.equal(100);
 	});
 });
--- a/packages/decisions/__tests__/staleness.spec.ts
+++ b/packages/decisions/__tests__/staleness.spec.ts
@@ -52,10 +52,10 @@
 
 describe('observeVersion', () => {
 	it('measures the usual interval and never goes back', () => {
-		let seen = observeVersion(undefined, 3, 0);
-		seen = observeVersion(seen, 4, 100);
-		seen = observeVersion(seen, 6, 500);
-		expect(seen).to.deep.equal({current: 6, since: 500, intervalMs: 150});
-		expect(observeVersion(seen, 5, 600)).to.equal(seen);
+		let observed = observeVersion(undefined, 3, 0);
+		observed = observeVersion(observed, 4, 100);
+		observed = observeVersion(observed, 6, 500);
+		expect(observed).to.deep.equal({current: 6, since: 500, intervalMs: 150});
+		expect(observeVersion(observed, 5, 600)).to.equal(observed);
 	});
 });
--- a/packages/decisions/__tests__/uneven-endpoints.spec.ts
+++ b/packages/decisions/__tests__/uneven-endpoints.spec.ts
@@ -22,7 +22,7 @@
 		clock.uninstall();
 	});
 
-	/** Lengths like those of a trainer: a mean of 20 events, few over 100; hints are right at the median and off by a factor of two. */
+	/** Creates generations with lengths like those of a trainer: a mean of 20 events, few over 100. Hints are unbiased and off by at most a factor of two. */
 	function createGenerations(random: Random, count: number): ReplayedGeneration[] {
 		return Array.from({length: count}, () => {
 			const length = Math.min(152, Math.ceil(5 / (Math.max(0.001, random.next()) ** 0.75)));
@@ -44,7 +44,7 @@
 	/**
 	 * Replays a step whose generations begin together.
 	 *
-	 * @param findUnitMs - time for an event at an endpoint, by the time since the step's begin
+	 * @param findUnitMs - time for an event at an endpoint, by the time since the start of the step, in milliseconds
 	 * @returns time at which all are complete, in milliseconds, and the number of moves per generation
 	 */
 	function replay(seed: number, paces: readonly number[], {isPlanned, findUnitMs = endpoint => paces[endpoint]!}: {isPlanned: boolean; findUnitMs?: (endpoint: number, ms: number) => number}) {
@@ -96,10 +96,10 @@
 		return {endMs: ms, moves: moves / generations.length};
 	}
 
-	function average(seeds: number, play: (seed: number) => {endMs: number; moves: number}) {
-		const played = Array.from({length: seeds}, (_, i) => play(i + 1));
+	function average(seeds: number, replaySeed: (seed: number) => {endMs: number; moves: number}) {
+		const results = Array.from({length: seeds}, (_, i) => replaySeed(i + 1));
 		const mean = (values: number[]) => values.reduce((sum, value) => sum + value, 0) / values.length;
-		return {endMs: mean(played.map(({endMs}) => endMs)), moves: mean(played.map(({moves}) => moves))};
+		return {endMs: mean(results.map(({endMs}) => endMs)), moves: mean(results.map(({moves}) => moves))};
 	}
 
 	const uneven = [26, 26, 56, 56, 56, 56, 56, 56, 56, 56];
@@ -122,18 +122,18 @@
 
 	it('never moves a generation in its first five events, unless its endpoint has become slow', () => {
 		const newlyStarted = {unitsMadeHere: 3, unitsLeft: 100, dueInMs: 2000};
-		expect([1, 3].map(spell => isAtRisk(newlyStarted, {persistentMs: 56, episodicFactor: spell, transientFactor: 1}))).to.deep.equal([false, true]);
+		expect([1, 3].map(factor => isAtRisk(newlyStarted, {persistentMs: 56, episodicFactor: factor, transientFactor: 1}))).to.deep.equal([false, true]);
 		expect(isAtRisk({...newlyStarted, unitsMadeHere: 5}, {persistentMs: 56, episodicFactor: 1, transientFactor: 1})).to.equal(true);
 	});
 
 	it('stays at an endpoint that is merely full if an idle one has the same persistent speed', () => {
 		const settled = {unitsMadeHere: 20, unitsLeft: 100, dueInMs: 2000};
 		expect(gainsByMoving(settled, {persistentMs: 56, episodicFactor: 1, transientFactor: 1}, {persistentMs: 26, episodicFactor: 2, transientFactor: 1})).to.equal(true);
-		expect([2, 2.5].map(spell => gainsByMoving(settled, {persistentMs: 56, episodicFactor: spell, transientFactor: 1}, {persistentMs: 56, episodicFactor: 1, transientFactor: 1}))).to.deep.equal([false, true]);
+		expect([2, 2.5].map(factor => gainsByMoving(settled, {persistentMs: 56, episodicFactor: factor, transientFactor: 1}, {persistentMs: 56, episodicFactor: 1, transientFactor: 1}))).to.deep.equal([false, true]);
 	});
 });
 
-describe('TextLengths', () => {
+describe('GenerationLengths', () => {
 	it('expects a long generation to continue, and more so with a longer hint', () => {
 		const lengths = new GenerationLengths();
 		for (const events of [5, 8, 10, 12, 14, 16, 20, 60, 120]) {
--- a/packages/decisions/__tests__/weight-waves.spec.ts
+++ b/packages/decisions/__tests__/weight-waves.spec.ts
@@ -4,18 +4,18 @@
 	failReplica, planWave, storeSource, type WeightReplica, type WaveLimits,
 } from '../src/index.js';
 
-/** The model: durations of a fetch and of a swap in milliseconds, and the failure rate of swaps. */
+/** Simulated durations of a weight fetch and of a swap, in milliseconds. */
 const fetchMs = 2000;
 const swapMs = 500;
 
-type Outcome = {doneMs: number; mostOut: number; mostStoreStreams: number; failures: number};
+type Outcome = {doneMs: number; maxSwapping: number; maxStoreStreams: number; failures: number};
 
 function simulateRollout(count: number, limits: WaveLimits, failureRate: number): Outcome {
 	const random = new Random(7);
 	let replicas: WeightReplica[] = Array.from({length: count}, (_, i) => ({id: `e${i}`, state: 'old', failures: 0}));
 	const endsAt = new Map<string, number>();
 	const outcome: Outcome = {
-		doneMs: 0, mostOut: 0, mostStoreStreams: 0, failures: 0,
+		doneMs: 0, maxSwapping: 0, maxStoreStreams: 0, failures: 0,
 	};
 	for (let now = 0; now < 120_000; now += 50) {
 		replicas = replicas.map(replica => {
@@ -42,8 +42,8 @@
 
 			return source === undefined ? {...replica, ...(swaps.has(replica.id) && {state: 'swapping'})} : {...replica, state: 'fetching', source};
 		});
-		outcome.mostOut = Math.max(outcome.mostOut, replicas.filter(({state}) => state === 'swapping').length);
-		outcome.mostStoreStreams = Math.max(outcome.mostStoreStreams, replicas.filter(({state, source}) => state === 'fetching' && source === storeSource).length);
+		outcome.maxSwapping = Math.max(outcome.maxSwapping, replicas.filter(({state}) => state === 'swapping').length);
+		outcome.maxStoreStreams = Math.max(outcome.maxStoreStreams, replicas.filter(({state, source}) => state === 'fetching' && source === storeSource).length);
 		if (replicas.every(({state}) => state === 'current')) {
 			return {...outcome, doneMs: now};
 		}
@@ -57,13 +57,13 @@
 		const outcome = simulateRollout(526, {storeStreams: 8, peerStreams: 2, interactiveEndpoints: 300}, 0.02);
 		expect(outcome.failures).to.be.above(0);
 		expect(outcome.doneMs).to.be.at.most(17_000);
-		expect(outcome.mostOut).to.be.at.most(526 - 375);
-		expect(outcome.mostStoreStreams).to.be.at.most(8);
+		expect(outcome.maxSwapping).to.be.at.most(526 - 375);
+		expect(outcome.maxStoreStreams).to.be.at.most(8);
 	});
 
 	it('updates a small pool without peers, one endpoint at a time if interactive callers need the rest', () => {
 		const outcome = simulateRollout(6, {storeStreams: 2, peerStreams: 0, interactiveEndpoints: 4}, 0);
-		expect(outcome.mostOut).to.equal(1);
+		expect(outcome.maxSwapping).to.equal(1);
 		expect(outcome.doneMs).to.be.at.most(17_000);
 	});
 
--- a/packages/decisions/src/fair-queue.ts
+++ b/packages/decisions/src/fair-queue.ts
@@ -122,8 +122,8 @@
 
 	/** Returns the queue of a class that has accrued enough credit for its next job, or else of the most urgent class with waiting jobs. */
 	#chooseNextQueue(): ClassQueue<Job> | undefined {
-		const owed = this.#classes.find(({queue, credit}) => queue.first && credit >= queue.first.ticket.cost && credit > 0);
-		return owed ?? this.#classes.find(({queue}) => !queue.isEmpty);
+		const owedClass = this.#classes.find(({queue, credit}) => queue.first && credit >= queue.first.ticket.cost && credit > 0);
+		return owedClass ?? this.#classes.find(({queue}) => !queue.isEmpty);
 	}
 
 	#settleCredits(served: ClassQueue<Job>, cost: number): void {
--- a/packages/decisions/src/headroom.ts
+++ b/packages/decisions/src/headroom.ts
@@ -39,7 +39,7 @@
 
 	/** Records the number of interactive requests in flight from `now` on. */
 	observe(inFlight: number, now: number): void {
-		const {mean, variance} = this.#project(now);
+		const {mean, variance} = this.#estimateAt(now);
 		this.#mean = mean;
 		this.#variance = variance;
 		this.#observedAt = now;
@@ -48,7 +48,7 @@
 
 	/** Returns the number of slots to keep free now, in addition to those that interactive requests use. */
 	reserve(limit: number, now: number): number {
-		const {mean, variance} = this.#project(now);
+		const {mean, variance} = this.#estimateAt(now);
 		const expected = Math.ceil(mean + (reservedDeviations * Math.sqrt(variance)) - negligibleRequests);
 		const wanted = Math.max(expected - this.#current, limit >= minLimitForReserve ? idleReserve : 0);
 		return Math.min(wanted, Math.floor(maxReservedFraction * limit));
@@ -60,7 +60,7 @@
 	}
 
 	/** Returns the mean and variance at `now`, with the in-flight count of the last observation. */
-	#project(now: number): {mean: number; variance: number} {
+	#estimateAt(now: number): {mean: number; variance: number} {
 		const weight = this.#observedAt === undefined ? 1 : 1 - Math.exp(-(now - this.#observedAt) / timeConstantMs);
 		const difference = this.#current - this.#mean;
 		return {
--- a/packages/decisions/src/load-estimator.ts
+++ b/packages/decisions/src/load-estimator.ts
@@ -30,7 +30,7 @@
 	#changes: Array<{at: number; by: 1 | -1}> = [];
 	#changeSinceReport = 0;
 	/** Mean number of requests of others at the endpoint. */
-	#meanOthers = 0;
+	#meanOtherLoad = 0;
 	#ownOpen = 0;
 
 	/** Records a request sent to the endpoint. */
@@ -48,7 +48,7 @@
 		if (report.measuredAt >= this.#report.measuredAt) {
 			this.#report = report;
 			this.#setChanges(this.#changes.filter(({at}) => at > report.measuredAt));
-			this.#meanOthers += otherLoadSmoothingWeight * (this.#findOthers() - this.#meanOthers);
+			this.#meanOtherLoad += otherLoadSmoothingWeight * (this.#estimateOtherLoad() - this.#meanOtherLoad);
 		}
 	}
 
@@ -61,7 +61,7 @@
 	estimate(now: number, serviceMs: number): number {
 		const ageMs = Math.max(0, now - this.#report.measuredAt);
 		const reportWeight = Math.exp(-ageMs / Math.max(1, serviceMs));
-		return this.#ownOpen + this.#meanOthers + (reportWeight * (this.#findOthers() - this.#meanOthers));
+		return this.#ownOpen + this.#meanOtherLoad + (reportWeight * (this.#estimateOtherLoad() - this.#meanOtherLoad));
 	}
 
 	/** Number of requests at the endpoint now: the report, corrected by requests sent and ended since; at least this entry's own. */
@@ -70,7 +70,7 @@
 	}
 
 	/** Returns the requests of others according to the report: its total minus this entry's own at that time. */
-	#findOthers(): number {
+	#estimateOtherLoad(): number {
 		return Math.max(0, this.#report.load - (this.#ownOpen - this.#changeSinceReport));
 	}
 
--- a/packages/direct/src/endpoint-directory.ts
+++ b/packages/direct/src/endpoint-directory.ts
@@ -45,7 +45,7 @@
 	#slotLimits: SlotLimits | undefined;
 	#moveCount = 0;
 	/** Retry-after plans by service. */
-	readonly #returnPlans = new Map<string, RetryAfterPlan>();
+	readonly #retryAfterPlans = new Map<string, RetryAfterPlan>();
 
 	/** @param eventLoopLag - lag of this process; events that it reads late don't show the pace of the endpoints */
 	constructor(random: Random, policy = defaultPolicy, eventLoopLag = new EventLoopLag()) {
@@ -132,8 +132,8 @@
 
 	/** Time after which a caller that was refused for lack of headroom should retry, in milliseconds. */
 	planRetryAfterMs(service: string): number {
-		const plan = this.#returnPlans.get(service) ?? new RetryAfterPlan();
-		this.#returnPlans.set(service, plan);
+		const plan = this.#retryAfterPlans.get(service) ?? new RetryAfterPlan();
+		this.#retryAfterPlans.set(service, plan);
 		const serving = [...this.#states.values()].filter(({endpoint, vanishedAt}) => endpoint.service === service && vanishedAt === undefined && !endpoint.isDraining);
 		return plan.plan(serving.map(state => state.toHeadroom()));
 	}
--- a/packages/direct/src/endpoint-moves.ts
+++ b/packages/direct/src/endpoint-moves.ts
@@ -28,8 +28,8 @@
 
 	const better = new Map(listEligible().flatMap(state => {
 		const candidate = state.toCandidate(warmKey, dedicated);
-		const hasRoom = state !== current && candidate.open + candidate.openElsewhere < candidate.slots;
-		return hasRoom && gainsByMoving(text, speed, state.speed) ? [[candidate, state] as const] : [];
+		const hasHeadroom = state !== current && candidate.open + candidate.openElsewhere < candidate.slots;
+		return hasHeadroom && gainsByMoving(text, speed, state.speed) ? [[candidate, state] as const] : [];
 	}));
 	const chosen = chooseDirect([...better.keys()], chance);
 	return chosen && better.get(chosen);
--- a/packages/direct/src/slot-limits.ts
+++ b/packages/direct/src/slot-limits.ts
@@ -169,13 +169,13 @@
 	#report({endpoint: {id}, open, others, loadAgeMs}: EndpointState): void {
 		if (this.#contendedUntil.has(id)) {
 			this.#source.updateDemand({
-				endpoint: id, filled: open, wants: this.#listWants(id), ...(loadAgeMs < freshLoadMs ? {others} : {}),
+				endpoint: id, filled: open, wants: this.#listQueuedWork(id), ...(loadAgeMs < freshLoadMs ? {others} : {}),
 			});
 		}
 	}
 
 	/** Waiters for an endpoint: their number by urgency, each with the earliest due time. */
-	#listWants(endpoint: string): QueuedWork[] {
+	#listQueuedWork(endpoint: string): QueuedWork[] {
 		const now = performance.now();
 		const wants = new Map<number, QueuedWork>();
 		for (const waiter of this.#waiterIds.get(endpoint) ?? []) {
--- a/packages/direct/src/weight-orders.ts
+++ b/packages/direct/src/weight-orders.ts
@@ -20,7 +20,7 @@
 import type {WeightLoad} from './load-windows.js';
 
 /** The lease that permits sending orders; a `LeaseHolder` has this shape. */
-export type OrderLease = {readonly fence: number; holds(roomMs?: number): boolean};
+export type OrderLease = {readonly fence: number; holds(marginMs?: number): boolean};
 
 export type WeightOrdersSettings = {
 	directory: EndpointDirectory;
@@ -59,7 +59,7 @@
 /** Time after which an order in progress is abandoned, in milliseconds: several times a slow load. */
 const orderTimeoutMs = 15_000;
 
-/** Pause before a new order to an endpoint that did not take one, in milliseconds. */
+/** Pause before a new order to an endpoint that did not accept the last one, in milliseconds. */
 const retryMs = 300;
 
 /** Time for which an endpoint that was ordered to load gets no other work, in milliseconds; its reports extend it. */
