--- a/packages/duties/src/reference-clock.ts
+++ b/packages/duties/src/reference-clock.ts
@@ -38,8 +38,8 @@
 			return Date.now();
 		}
 
-		const agreedMs = storeMs + offsetMs;
-		return Math.abs(Date.now() - agreedMs) > maxErrorMs ? agreedMs : Date.now();
+		const referenceMs = storeMs + offsetMs;
+		return Math.abs(Date.now() - referenceMs) > maxErrorMs ? referenceMs : Date.now();
 	}
 }
 
--- a/packages/duties/src/usage-counts.ts
+++ b/packages/duties/src/usage-counts.ts
@@ -23,9 +23,9 @@
 	readonly #onChange: () => void;
 
 	/** @param onChange - called when there are counts to write */
-	constructor(windowMs: number, readTrueMs: () => number, onChange: () => void) {
+	constructor(windowMs: number, readReferenceMs: () => number, onChange: () => void) {
 		this.#windowMs = windowMs;
-		this.#readReferenceMs = readTrueMs;
+		this.#readReferenceMs = readReferenceMs;
 		this.#onChange = onChange;
 	}
 
--- a/packages/duties/src/usage-reporter.ts
+++ b/packages/duties/src/usage-reporter.ts
@@ -23,7 +23,7 @@
 const retainedWindows = 48;
 const sweepIntervalWindows = 12;
 
-/** Exclusive right to report; to be checked right before each call. */
+/** Lease that gives one host the exclusive right to report; to be checked immediately before each call. */
 export type DutyLease = {
 	/** Fencing token; increases with each change of the holder. */
 	readonly fence: number;
@@ -35,7 +35,7 @@
 	store: UsageStore;
 	client: DutyClient;
 	lease: DutyLease;
-	/** Time for which the right must last after a report is sent, in milliseconds; 0 if the platform rejects old fences itself. */
+	/** Time for which the lease must still be held when a report is sent, in milliseconds; 0 if the platform rejects old fences itself. */
 	sendMarginMs?: number;
 	/** Name of the host. */
 	holder: string;
--- a/packages/record/src/claim-log.ts
+++ b/packages/record/src/claim-log.ts
@@ -19,7 +19,7 @@
 /** Bodies up to this size stay in the row; larger ones go to the object store, in bytes. */
 const maxRowBodyBytes = 4096;
 
-/** Retention of a claim, in milliseconds: a day, longer than any deadline and than the time until a person tries again. */
+/** Retention of a claim, in milliseconds: a day, longer than any deadline and than the time until a user retries by hand. */
 const claimRetentionMs = 86_400_000;
 
 /** Assumed maximum difference between the wall clocks of two hosts, in milliseconds. */
--- a/packages/record/src/lease-holder.ts
+++ b/packages/record/src/lease-holder.ts
@@ -38,7 +38,7 @@
  * The monotonic clock does not advance while a machine is suspended, and another holder may have taken over meanwhile;
  * a step of the time of day can't be told apart and costs one renewal.
  */
-const maxClockGapMs = 250;
+const maxClockOffsetChangeMs = 250;
 
 /** Maximum jitter of the renewal interval, as a fraction; prevents many holders from synchronizing. */
 const jitterRatio = 0.1;
@@ -80,7 +80,7 @@
 	/** End of the time in which effects are allowed, on the monotonic clock. */
 	#heldUntil = Number.NEGATIVE_INFINITY;
 	/** Time of day minus monotonic clock at the last write of the lease, in milliseconds. */
-	#clockGap = 0;
+	#clockOffsetMs = 0;
 	#wasHeld = false;
 	#round: Promise<boolean> | undefined;
 	#timer: NodeJS.Timeout | undefined;
@@ -102,7 +102,7 @@
 	 * @param effectMs - time that an effect may take to arrive if its receiver does not check the fence, in milliseconds; the lease must last that long
 	 */
 	holds(effectMs = 0): boolean {
-		return performance.now() + effectMs < this.#heldUntil && Math.abs(readClockGap() - this.#clockGap) <= maxClockGapMs;
+		return performance.now() + effectMs < this.#heldUntil && Math.abs(readClockOffsetMs() - this.#clockOffsetMs) <= maxClockOffsetChangeMs;
 	}
 
 	/** Fencing token to send with each effect; 0 while the lease is not held. */
@@ -175,8 +175,8 @@
 
 	/** Returns the time until the next round, in milliseconds. */
 	#getRoundDelayMs(): number {
-		const deviation = 1 + (jitterRatio * ((2 * this.#settings.random.next()) - 1));
-		const regularMs = this.#termMs / roundsPerTerm * deviation;
+		const jitterFactor = 1 + (jitterRatio * ((2 * this.#settings.random.next()) - 1));
+		const regularMs = this.#termMs / roundsPerTerm * jitterFactor;
 		const takeoverMs = this.#getMsToTakeover();
 		// An expired lease that could not be taken is tried again at the regular interval, to limit the load of the store.
 		return this.holds() || takeoverMs <= 0 ? regularMs : Math.min(regularMs, Math.ceil(takeoverMs));
@@ -255,7 +255,7 @@
 		const isOwn = this.#lease?.incarnation === this.#incarnation;
 		const fence = (this.#lease?.fence ?? 0) + (isOwn ? 0 : 1);
 		const sentAt = performance.now();
-		const clockGap = readClockGap();
+		const clockOffsetMs = readClockOffsetMs();
 		const isWritten = await this.#write({holder, fence});
 		if (!isWritten) {
 			await this.#observe();
@@ -263,7 +263,7 @@
 		}
 
 		this.#heldUntil = sentAt + (this.#termMs * (1 - marginRatio));
-		this.#clockGap = clockGap;
+		this.#clockOffsetMs = clockOffsetMs;
 		this.#hasLiveRival = false;
 		if (!isOwn) {
 			log.info('lease_taken', {shard, fence});
@@ -309,6 +309,6 @@
 	}
 }
 
-function readClockGap(): number {
+function readClockOffsetMs(): number {
 	return Date.now() - performance.now();
 }
--- a/packages/record/src/settled-write.ts
+++ b/packages/record/src/settled-write.ts
@@ -19,7 +19,7 @@
 	attempt: string;
 };
 
-/** Limit of sends of one write; a store that loses three answers in a row counts as unavailable. */
+/** Maximum number of times that one write is sent; a store that loses three answers in a row counts as unavailable. */
 const maxSends = 3;
 
 const witnessSchema = z.object({attempt: z.string()});
--- a/packages/record/src/table-follower.ts
+++ b/packages/record/src/table-follower.ts
@@ -18,9 +18,9 @@
  */
 const defaultWaitMs = 1500;
 
-/** First and longest pause after a failed call, in milliseconds: recovers soon after an outage without flooding the store during it. */
-const firstPauseMs = 50;
-const longestPauseMs = 250;
+/** Minimum and maximum pause after a failed call, in milliseconds, doubled with each failure: recovers soon after an outage without flooding the store during it. */
+const minPauseMs = 50;
+const maxPauseMs = 250;
 
 /**
  * Time over which hosts spread the reading of a whole table after its history was lost, in milliseconds, if `chance` is set.
@@ -67,7 +67,7 @@
 	#isSynced = false;
 	#lastContactAt = Number.NEGATIVE_INFINITY;
 	#isStopped = false;
-	#pauseMs = firstPauseMs;
+	#pauseMs = minPauseMs;
 	#isDown = false;
 	#wake: (() => void) | undefined;
 	/** Abandons the call in progress. */
@@ -174,7 +174,7 @@
 		try {
 			await (this.#version >= 0 ? this.#follow() : this.#readTable());
 			this.#lastContactAt = performance.now();
-			this.#pauseMs = firstPauseMs;
+			this.#pauseMs = minPauseMs;
 			if (this.#isDown) {
 				this.#isDown = false;
 				log.info('store_regained', {table, version: this.#version});
@@ -205,7 +205,7 @@
 
 	async #pause(moreMs = 0): Promise<void> {
 		await this.#wait(this.#pauseMs + moreMs);
-		this.#pauseMs = Math.min(longestPauseMs, this.#pauseMs * 2);
+		this.#pauseMs = Math.min(maxPauseMs, this.#pauseMs * 2);
 	}
 
 	async #wait(ms: number): Promise<void> {
