--- a/packages/batches/src/batch-sweep.ts
+++ b/packages/batches/src/batch-sweep.ts
@@ -13,7 +13,7 @@
 	log: Log;
 };
 
-/** Deletes ended batches accepted before, and texts retained before, a time on the store's clock in milliseconds. Never rejects. */
+/** Deletes ended batches and retained texts that are older than a time on the store's clock, in milliseconds; a batch is as old as its acceptance. Never rejects. */
 export async function sweepBefore({
 	store, retainedTexts, known, log,
 }: SweepSettings, cutoffMs: number): Promise<void> {
--- a/packages/batches/src/batch.ts
+++ b/packages/batches/src/batch.ts
@@ -28,7 +28,7 @@
 });
 
 export const submissionSchema = z.object({
-	/** Host name and path of the submission, which select its route. */
+	/** Host name and path that the batch was submitted to; they select its route. */
 	host: z.string(),
 	path: z.string(),
 	/** Customer that owns the batch; undefined if no key was required. */
--- a/packages/batches/src/host-registry.ts
+++ b/packages/batches/src/host-registry.ts
@@ -49,13 +49,13 @@
 const suspectAfterMs = 900;
 
 /**
- * Additional delay of each lower-ranked host before it suspects a process and takes over, in milliseconds: a few calls to the store. So only the first hosts
- * by rank do so; if all 1,700 hosts did, they would write 4,250 heartbeats a second when an owner fails.
+ * Additional delay of each lower-ranked host before it suspects a process and takes over, in milliseconds: a few calls to the store. Only the first hosts by rank
+ * then act; if all 1,700 hosts did, they would write 4,250 heartbeats a second when an owner fails.
  */
-const rankStepMs = 30;
+const delayPerRankMs = 30;
 
-/** Time for which a process must have received its own heartbeats before it acts on a suspicion, in milliseconds: two heartbeats of a live suspect would have arrived in it. */
-const minOwnFeedMs = 800;
+/** Time for which a process must have received its own heartbeats before it acts on a suspicion, in milliseconds: within it two heartbeats of a suspect that is alive would have arrived. */
+const minOwnHeartbeatsMs = 800;
 
 /** Age after which a received heartbeat no longer proves that the feed works, in milliseconds. */
 const heartbeatValidityMs = 1000;
@@ -70,7 +70,7 @@
 /** Maximum endpoints in one report of paces; they make a row 0.35 KB longer. */
 const maxReportedPaces = 12;
 
-/** Upper bounds of cores, and of a pace in milliseconds, above any real value, so that an invalid row can not distort scheduling. */
+/** Upper bounds of cores, and of a pace in milliseconds, above any real value, so that an invalid row cannot distort scheduling. */
 const maxCores = 4096;
 const maxPaceMs = 3_600_000;
 
@@ -147,8 +147,9 @@
 	#hasReportedClock = false;
 	/** Time at which this process last suspected another one, on the monotonic clock like all times below. */
 	#suspectedAt = Number.NEGATIVE_INFINITY;
-	/** Time at which this process last received its own heartbeat, and since when it receives them without a gap. */
+	/** Time at which this process last received its own heartbeat. */
 	#ownReceivedAt = Number.NEGATIVE_INFINITY;
+	/** Time since which this process has received its own heartbeats without a gap. */
 	#ownReceivedSince = Number.POSITIVE_INFINITY;
 	/** Time at which the store last refused a heartbeat of this process. */
 	#refusedAt = Number.NEGATIVE_INFINITY;
@@ -194,7 +195,7 @@
 		const own = rankCandidate(name, host);
 		const isIdle = this.#isIdle(performance.now());
 		const isBefore = (other: string, isResting: boolean) => isResting === isIdle ? rankCandidate(name, other) > own : isIdle;
-		return rankStepMs * [...this.#hosts].filter(([other, {isResting}]) => other !== host && isBefore(other, isResting)).length;
+		return delayPerRankMs * [...this.#hosts].filter(([other, {isResting}]) => other !== host && isBefore(other, isResting)).length;
 	}
 
 	/** Lists processes that have sent a heartbeat and are not known to be gone. */
@@ -308,7 +309,7 @@
 			this.#suspect(now);
 		}
 
-		const isFeedVerified = now - this.#ownReceivedAt < heartbeatValidityMs && now - this.#ownReceivedSince >= minOwnFeedMs;
+		const isFeedVerified = now - this.#ownReceivedAt < heartbeatValidityMs && now - this.#ownReceivedSince >= minOwnHeartbeatsMs;
 		// A store that refuses some heartbeats of this process may also have refused those of the silent one.
 		return silentMs > limitMs && isFeedVerified && now - this.#refusedAt > limitMs;
 	}
--- a/packages/batches/src/pending-results.ts
+++ b/packages/batches/src/pending-results.ts
@@ -32,7 +32,7 @@
 
 	/**
 	 * @param samples - samples of the share
-	 * @param isByBenefit - whether the results that benefit the step most are committed first; otherwise the oldest are
+	 * @param isByBenefit - whether results are committed by their benefit for the step, highest first; otherwise by age, oldest first
 	 */
 	constructor(samples: readonly Sample[], isByBenefit: boolean) {
 		this.#isByBenefit = isByBenefit;
--- a/packages/batches/src/retained-text-finder.ts
+++ b/packages/batches/src/retained-text-finder.ts
@@ -43,8 +43,8 @@
 	async find(submission: Submission, {shares}: BatchRecord, share: number, whenRetained: Promise<void>): Promise<Map<string, RetainedText>> {
 		const {samples, wantedGroups, step, customer} = submission;
 		const {retainedTexts, log} = this.#settings;
-		const ours = new Set(listShareSamples(submission, share, shares.length).flatMap(({group}) => group ?? []));
-		const groups = [...new Set(samples.flatMap(({group}) => group ?? []))].slice(0, Math.ceil(wantedGroups * carriedOverFraction)).filter(group => ours.has(group));
+		const ownGroups = new Set(listShareSamples(submission, share, shares.length).flatMap(({group}) => group ?? []));
+		const groups = [...new Set(samples.flatMap(({group}) => group ?? []))].slice(0, Math.ceil(wantedGroups * carriedOverFraction)).filter(group => ownGroups.has(group));
 		if (step === 0 || groups.length === 0) {
 			return new Map();
 		}
@@ -63,8 +63,8 @@
 	async waitForRetained(series: string): Promise<void> {
 		const {hosts, known, retired, readStoreMs} = this.#settings;
 		const recent = known.listEnded(series, readStoreMs() - demandAgeMs);
-		const areOurs = recent.every(({shares}) => shares.every(({owner}) => owner === hosts.incarnation));
-		const isWrittenHere = areOurs && retired.isWriting(series);
+		const areAllOwnedHere = recent.every(({shares}) => shares.every(({owner}) => owner === hosts.incarnation));
+		const isWrittenHere = areAllOwnedHere && retired.isWriting(series);
 		await Promise.all([retired.waitForWrites(series), pause(isWrittenHere ? 0 : retainDelayMs)]);
 	}
 }
--- a/packages/batches/src/share-owner.ts
+++ b/packages/batches/src/share-owner.ts
@@ -120,7 +120,7 @@
 		this.#stored = stored;
 		this.#submission = submission;
 		this.#texts = new ShareTexts(inherited);
-		// With the host's wait queue all samples may wait there; without it this queue limits how many search for an endpoint at once.
+		// With a wait queue of the host, all samples may wait there; without one, this concurrency limits how many samples search for an endpoint at once.
 		this.#queue = new PQueue({concurrency: settings.queue ? Number.POSITIVE_INFINITY : this.#countSlots()});
 		const {dueMs, timeoutMs = 0} = this.#findRoute() ?? {};
 		this.#positions = new QueuePositions(stored.record.series, this.#acceptedAt + (dueMs ?? timeoutMs), this.#planOrder());
--- a/packages/slots/src/allocation-coordinator.ts
+++ b/packages/slots/src/allocation-coordinator.ts
@@ -174,7 +174,7 @@
 	});
 }
 
-/** Returns the wants without their first `count` requests. */
+/** Returns the queued work without its first `count` requests, for which slots have been allocated since the demand. */
 function skipWants(wants: readonly QueuedWork[], count: number): QueuedWork[] {
 	let toSkip = count;
 	return wants.flatMap(want => {
--- a/packages/slots/src/divide-slots.ts
+++ b/packages/slots/src/divide-slots.ts
@@ -6,7 +6,7 @@
  */
 import type {QueuedWork} from './slot-allocation.js';
 
-/** What one host wants beyond the slots that it was allocated. */
+/** Work of one host that waits for slots beyond the slots that it was allocated. */
 export type SlotClaim = {
 	host: string;
 	/** Most urgent first. */
@@ -18,7 +18,7 @@
 /** One of this many slots goes to the host that has waited longest, so that each host gets at least a quarter of the average. */
 export const fairnessIntervalSlots = 4;
 
-/** A claim with what remains of it: the index of its first unserved want, how many of that are served, and the last slot that it got. */
+/** A claim and its progress: the index of the first want that is not fully served, the requests of that want that are served, and the index of the last slot granted to the host. */
 type RemainingClaim = {claim: SlotClaim; wantIndex: number; served: number; lastGrantIndex: number};
 
 /**
@@ -70,7 +70,7 @@
 	return first.urgency === second.urgency ? first.dueInMs < second.dueInMs : first.urgency < second.urgency;
 }
 
-/** A host that got a slot in this division has waited less than those that got none. */
+/** Whether the host of `a` has waited longer than that of `b`. A host that gets a slot in this division counts as having waited less than hosts that get none. */
 function hasWaitedLonger(a: RemainingClaim, b: RemainingClaim): boolean {
 	return a.lastGrantIndex === b.lastGrantIndex ? a.claim.waitedMs > b.claim.waitedMs : a.lastGrantIndex < b.lastGrantIndex;
 }
