--- a/packages/gateway/src/peer-links.ts
+++ b/packages/gateway/src/peer-links.ts
@@ -11,7 +11,7 @@
 } from '@wasabiusher/link';
 import {RepeatedFailures, type Log, type Random} from '@wasabiusher/shared';
 
-/** Hosts that are linked at a time: one of them may be cut off from the store as well. */
+/** Maximum number of hosts that are linked at a time; more than one, since a linked host may be cut off from the store as well. */
 const maxLinks = 2;
 
 /** Time for a link to come up before another host is tried, in milliseconds; round trips between hosts take milliseconds. */
--- a/packages/gateway/src/slot-sharing.ts
+++ b/packages/gateway/src/slot-sharing.ts
@@ -142,7 +142,7 @@
 		return this.links.send(coordinator.address, {kind: 'slot-demand', demand});
 	}
 
-	/** Ignores a demand for an endpoint that is unknown here. Without an answer, the requesting host limits itself by its own observations. */
+	/** Passes a demand to the coordinator. A demand for an endpoint that is unknown here gets no answer; the requesting host then limits itself by its own observations. */
 	#allocate(host: string, demand: SlotDemand): void {
 		const slots = this.#settings.directory.get(demand.endpoint)?.slots;
 		if (slots !== undefined) {
