--- a/packages/decisions/__tests__/model-assignment.spec.ts
+++ b/packages/decisions/__tests__/model-assignment.spec.ts
@@ -117,7 +117,8 @@
 			a: {work: 2350, longest: 152}, b: {work: 1930, longest: 145}, c: {work: 1390, longest: 125}, d: {work: 2250, longest: 145},
 		};
 		const modelEndpoints = Array.from({length: 31}, (_, i) => createEndpoint(`e${i}`, published, i % 4 === 0 ? 26 : 55));
-		const countFast = (assignments: ReadonlyMap<string, readonly string[]>) => models.map(model => modelEndpoints.filter(({id, paceMs}) => paceMs === 26 && assignments.get(id)![0] === model).length);
+		const countFast = (assignments: ReadonlyMap<string, readonly string[]>) =>
+			models.map(model => modelEndpoints.filter(({id, paceMs}) => paceMs === 26 && assignments.get(id)![0] === model).length);
 		const assignments = assign(modelEndpoints, published, unequalDemands);
 		expect(Math.min(...countFast(assignments))).to.be.at.least(1);
 		expect(Math.max(...countFast(assignments))).to.be.at.most(3);
--- a/packages/direct/src/endpoint-directory.ts
+++ b/packages/direct/src/endpoint-directory.ts
@@ -243,7 +243,7 @@
 		return this.#policy.plansTexts ? state?.speed.persistentMs : state?.bestMs;
 	}
 
-	/** Assumes the persistent speeds in `classes` for endpoints that this process has not measured. */
+	/** Assumes the persistent speeds in `speeds` for endpoints that this process has not measured. */
 	assumePersistentSpeeds(): void {
 		for (const state of this.#states.values()) {
 			this.persistentSpeeds.guess(state);
