--- a/packages/load/src/answers.ts
+++ b/packages/load/src/answers.ts
@@ -1,5 +1,5 @@
 /**
- * Checks of what a caller has received.
+ * Parses and checks the responses that a caller receives.
  */
 import {createParser} from 'eventsource-parser';
 import {z} from 'zod';
@@ -11,10 +11,10 @@
 
 const terminalData = '[DONE]';
 
-/** What was asked for. */
+/** The response that a request expects. */
 export type Expectation = {id: string; tokens: number; checkTags: boolean};
 
-/** Judges the text of an answer that claims to be whole. */
+/** Checks the text of a response that was delivered as complete. */
 export function judgeText(text: string, {id, tokens, checkTags}: Expectation): Violation[] {
 	const words = text.split(' ').filter(Boolean);
 	const violations: Violation[] = [];
@@ -29,7 +29,7 @@
 	return violations;
 }
 
-/** Text of a whole answer; undefined when it is none. */
+/** Returns the text of a non-streamed completion, or undefined if the body isn't a valid completion. */
 export function readCompletion(body: string): string | undefined {
 	try {
 		const parsed = completionSchema.safeParse(JSON.parse(body));
@@ -39,10 +39,10 @@
 	}
 }
 
-/** Gathers the text of a stream. */
+/** Accumulates the text of a streamed completion. */
 export class StreamReader {
 	text = '';
-	/** Whether the terminal event has come. */
+	/** Whether the terminal event has been received. */
 	isWhole = false;
 	readonly #decoder = new TextDecoder();
 	readonly #parser = createParser({
--- a/packages/load/src/arrivals.ts
+++ b/packages/load/src/arrivals.ts
@@ -1,36 +1,36 @@
 /**
- * When requests are sent, by whom and how long they are. Drawn before the run, so that a
- * slow system does not slow its load down.
+ * Draws the send time, caller and length of each request. All requests are drawn before the run, so that a
+ * slow system does not reduce its own load.
  */
 import type {Random} from '@wasabiusher/shared';
 import type {LoadSettings} from './settings.js';
 
-/** One request to be sent. */
+/** A scheduled request. */
 export type Arrival = {
 	id: string;
-	/** After the start, in milliseconds. */
+	/** Time since the start of the run, in milliseconds. */
 	atMs: number;
 	caller: string;
 	tokens: number;
 };
 
 type Pattern = {
-	/** Rate at a time, as a multiple of the average. */
+	/** Request rate at a time, as a multiple of the average. */
 	rateAt(atMs: number): number;
 	pickCaller(random: Random, callers: number): number;
 	pickTokens(random: Random, tokens: number): number;
 };
 
-/** A burst lasts a tenth of its period and carries half of the requests: five times the average. */
+/** A burst lasts a tenth of its period and contains half of the requests, so its rate is five times the average. */
 const burstPeriodMs = 5000;
 const burstFraction = 0.1;
 const burstRate = 5;
 const quietRate = 0.5 / 0.9;
 
-/** Share of the requests that the hot caller sends. */
+/** Fraction of the requests that the hot caller sends. */
 const hotShare = 0.8;
 
-/** Share of long requests, and how many times as long they are. */
+/** Fraction of long requests, and their length as a multiple of the usual length. */
 const longShare = 0.05;
 const longFactor = 16;
 
@@ -49,7 +49,7 @@
 	'long-among-short': {...steady, pickTokens: (random, tokens) => random.next() < longShare ? tokens * longFactor : tokens},
 };
 
-/** Draws all requests of a run, in order of time; Poisson arrivals at the pattern's rate. */
+/** Draws all requests of a run as Poisson arrivals at the pattern's rate, sorted by time. */
 export function createArrivals({pattern: name, rate, seconds, requests, callers, tokens, seed}: LoadSettings, random: Random): Arrival[] {
 	const pattern = patterns[name];
 	const arrivals: Arrival[] = [];
--- a/packages/load/src/index.ts
+++ b/packages/load/src/index.ts
@@ -1,4 +1,4 @@
-/** Bounded load, and the check of what callers received. */
+/** Bounded load generation, checks of the received responses, and the simulated load patterns. */
 export type * from './outcome.js';
 export * from './report.js';
 export * from './run.js';
--- a/packages/load/src/ledger-check.ts
+++ b/packages/load/src/ledger-check.ts
@@ -1,5 +1,5 @@
 /**
- * Compares what callers were told with what the ledgers have taken.
+ * Compares the outcomes reported to callers with the postings recorded by the ledgers.
  */
 import {request} from 'undici';
 import {z} from 'zod';
@@ -7,7 +7,7 @@
 
 const countsSchema = z.record(z.string(), z.number());
 
-/** How often each posting was taken, over all ledgers. */
+/** Reads how often each posting was recorded, summed over all ledgers. */
 export async function readPostings(ledgers: readonly string[]): Promise<Map<string, number>> {
 	const answers = await Promise.all(ledgers.map(async ledger => {
 		const {body} = await request(new URL('/postings', ledger));
@@ -21,7 +21,7 @@
 	return counts;
 }
 
-/** What each outcome promises of the number of postings. */
+/** Number of recorded postings that each kind of outcome permits, and the violation if there are fewer. */
 const promises: Readonly<Record<Outcome['kind'], {most: number; least: number; tooFew: Violation}>> = {
 	answered: {least: 1, most: 1, tooFew: 'lost'},
 	refused: {least: 0, most: 0, tooFew: 'lost'},
--- a/packages/load/src/loopback.ts
+++ b/packages/load/src/loopback.ts
@@ -1,9 +1,13 @@
 /**
- * Keeps load off addresses that it was not meant for.
+ * Prevents load from being sent to remote addresses by mistake.
  */
 import {isLoopback, SettingsError} from '@wasabiusher/daemon';
 
-/** Throws `SettingsError` unless all origins are on this machine or remote ones are allowed. */
+/**
+ * Checks that all origins are loopback addresses, unless remote ones are allowed.
+ *
+ * @throws SettingsError naming the first remote origin
+ */
 export function checkOrigins(origins: readonly string[], allowRemote: boolean): void {
 	const remote = origins.find(origin => !isLoopback(`${new URL(origin).hostname}:0`));
 	if (remote !== undefined && !allowRemote) {
--- a/packages/load/src/main.ts
+++ b/packages/load/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `wasabiusher-load`: bounded load with a check of what callers received; `model` runs the experiments instead.
+ * `wasabiusher-load` sends bounded load and checks the responses; `wasabiusher-load model` runs the simulated load patterns instead.
  */
 import process from 'node:process';
 import {loadSettings, SettingsError, usageStatus} from '@wasabiusher/daemon';
@@ -11,10 +11,10 @@
 
 const program = 'wasabiusher-load';
 
-/** The other programs of this one, by the first argument. */
+/** Subcommands, by the first argument. */
 const subprograms: Readonly<Record<string, () => Promise<void>>> = {
 	async model() {
-		// The model reads what follows its name.
+		// Removes the subcommand's name, so that the settings are parsed from the arguments after it.
 		process.argv.splice(2, 1);
 		runModel();
 	},
--- a/packages/load/src/model/arrivals.ts
+++ b/packages/load/src/model/arrivals.ts
@@ -1,29 +1,29 @@
 /**
- * What callers send in the model: Poisson arrivals, seeded.
+ * Generates the simulated calls as seeded Poisson arrivals.
  */
 import type {PriorityClass, Random} from '@wasabiusher/shared';
 import type {Call} from './call.js';
 
-/** Calls of one kind. */
+/** A stream of calls with the same class, callers and distribution of work. */
 export type Traffic = {
 	class: PriorityClass;
-	/** Callers that send it, in equal parts. */
+	/** Callers that send the calls, in equal proportions. */
 	callers: readonly string[];
-	/** Mean work of a call, which is what is known beforehand, in milliseconds on a slot. */
+	/** Mean work of a call, in milliseconds on a slot; the policies' estimate for each call. */
 	expectedMs: number;
 	deadlineMs: number;
-	/** Calls a second at a time in milliseconds. */
+	/** Returns the calls per second at a time in milliseconds. */
 	rate(now: number): number;
-	/** Work of a call in milliseconds on a slot. */
+	/** Draws the work of a call, in milliseconds on a slot. */
 	drawWork(random: Random): number;
 };
 
-/** Draws work evenly from half to one and a half of the mean. */
+/** Returns a generator of work distributed uniformly between 0.5 and 1.5 times the mean. */
 export function drawEvenly(meanMs: number): (random: Random) => number {
 	return random => meanMs * (0.5 + random.next());
 }
 
-/** All calls of some traffic until a time, in order. Slots of time are a millisecond. */
+/** Generates all calls of the traffic until a time in milliseconds, sorted by time. */
 export function createArrivals(traffic: readonly Traffic[], untilMs: number, random: Random): Call[] {
 	return traffic
 		.flatMap((kind, index) => createCalls(kind, `${index}`, untilMs, random))
@@ -35,7 +35,7 @@
 	let now = 0;
 	while (now < untilMs) {
 		const rate = kind.rate(now);
-		// While nothing is sent, look again soon.
+		// While the rate is zero, checks it again every 10 ms.
 		now += rate > 0 ? random.exponential(1000 / rate) : 10;
 		if (rate > 0 && now < untilMs) {
 			calls.push(createCall(kind, `${prefix}-${calls.length}`, now, random));
--- a/packages/load/src/model/baseline-policy.ts
+++ b/packages/load/src/model/baseline-policy.ts
@@ -1,12 +1,12 @@
 /**
- * What is compared with: first come first served, random routing, an unlimited line at each endpoint,
- * and three tries of each call at once. Work goes on after its caller has given up, as no deadline is passed on.
+ * The baseline policy: first come, first served; random routing; an unbounded queue at each endpoint; and up to three tries
+ * of each call without delay. No deadline is propagated, so a call continues to run after its caller has given up.
  */
 import type {Random} from '@wasabiusher/shared';
 import type {Call, CallPolicy, CallRun} from './call.js';
 import type {ModelEndpoint} from './pool.js';
 
-/** Tries of one call, customary in clients. */
+/** Tries per call; a number that is usual in clients. */
 const maxTries = 3;
 
 export class BaselinePolicy implements CallPolicy {
--- a/packages/load/src/model/call.ts
+++ b/packages/load/src/model/call.ts
@@ -1,47 +1,47 @@
 /**
- * What the model's callers send and what becomes of it.
+ * Simulated calls and their outcomes.
  */
 import type {PriorityClass} from '@wasabiusher/shared';
 
-/** A call of the model. */
+/** A simulated call. */
 export type Call = {
 	id: string;
 	caller: string;
 	class: PriorityClass;
-	/** When it is sent, in milliseconds of modelled time. */
+	/** When the call is sent, in milliseconds of simulated time. */
 	at: number;
 	deadlineAt: number;
-	/** Milliseconds that it takes on a slot of a healthy endpoint. */
+	/** Duration on a slot of a healthy endpoint, in milliseconds. */
 	workMs: number;
-	/** What is known of its work beforehand. */
+	/** Estimate of `workMs` that is available to the policy beforehand. */
 	expectedMs: number;
 };
 
-/** Exactly one for each call. */
+/** The outcome of a call; each call has exactly one. */
 export type CallOutcome = {
 	call: Call;
 	kind: 'answered' | 'late' | 'refused' | 'failed';
-	/** When the caller was told. */
+	/** When the caller was notified, in milliseconds of simulated time. */
 	at: number;
-	/** It had been let in and was given up without being run. */
+	/** Whether the call was admitted but expired in the queue without running. */
 	hasExpired?: boolean;
 };
 
-/** How one policy did on one pattern. */
+/** Results of one policy on one pattern. */
 export type CallRun = {
 	outcomes: CallOutcome[];
-	/** Attempts that reached an endpoint: when each did. */
+	/** Start times of the attempts that reached an endpoint. */
 	attempts: number[];
-	/** Most calls that waited at once. */
+	/** Maximum number of calls that waited at the same time. */
 	mostWaiting: number;
-	/** Endpoint that was out of use: from when to when. */
+	/** Periods in which an endpoint was ejected. */
 	ejections: Array<{endpoint: string; from: number; to?: number}>;
 };
 
-/** A policy: takes the calls that arrive in a tick, and moves on by one tick. */
+/** A routing policy: receives the calls that arrive in a tick, then advances by one tick. */
 export type CallPolicy = {
 	readonly run: CallRun;
-	/** Calls not ended yet. */
+	/** Number of calls that have no outcome yet. */
 	readonly open: number;
 	arrive(call: Call, now: number): void;
 	tick(now: number): void;
--- a/packages/load/src/model/decision-cost.ts
+++ b/packages/load/src/model/decision-cost.ts
@@ -1,5 +1,5 @@
 /**
- * What decisions cost: for `npm run bench`, never for a test.
+ * Measures the computing time of decisions for `npm run bench`; not used in tests.
  */
 import {
 	chooseEndpoint, FairQueue, PrefixIndex, splitPrefix, type Candidate,
@@ -7,15 +7,15 @@
 import {priorityClasses, Random} from '@wasabiusher/shared';
 import {findPercentile} from './run-calls.js';
 
-/** Bars: a routing decision among 64 endpoints in 50 µs at the 99th percentile, and 200,000 in and out of the queue a second. */
+/** Bounds: 50 µs at the 99th percentile for a routing decision among 64 endpoints, and 200,000 queue operations (one push and one pop) per second. */
 export const routingBarUs = 50;
 export const queueBarPerSecond = 200_000;
 
-/** Decisions before measuring, so that the code is compiled. */
+/** Decisions made before measuring, so that the code is compiled by then. */
 const warmUp = 5000;
 const routingRounds = 20_000;
 
-/** P99 of a routing decision in microseconds, with the match of a prompt of 8,192 characters at each endpoint. */
+/** Measures the 99th percentile of a routing decision in microseconds, including the prefix match of a prompt of 8,192 characters at each endpoint. */
 export function measureRoutingUs(endpointCount = 64): number {
 	const random = new Random(1);
 	const prefixes = new PrefixIndex();
@@ -40,7 +40,7 @@
 	return findPercentile(times.slice(warmUp), 0.99);
 }
 
-/** Jobs in and out of the queue in a second, while so many wait of so many callers. */
+/** Measures how many jobs per second are pushed to and popped from the queue, while `waiting` jobs of `callers` callers are queued. */
 export function measureQueuePerSecond(waiting = 10_000, callers = 1000): number {
 	const queue = new FairQueue<number>();
 	let count = 0;
--- a/packages/load/src/model/experiment.ts
+++ b/packages/load/src/model/experiment.ts
@@ -1,5 +1,5 @@
 /**
- * The experiment: every pattern with the real decisions and with the baseline, on the same arrivals.
+ * Runs each pattern with the real decisions and with the baseline, on the same arrivals.
  */
 import {callPatterns} from './call-patterns.js';
 import type {Figure} from './figure.js';
@@ -13,17 +13,17 @@
 };
 
 /**
- * Runs some patterns, or all.
+ * Runs the named patterns, or all of them by default.
  *
- * @param names - of `patterns`
+ * @param names - keys of `patterns`
  * @param seed - the same seed gives the same figures
- * @throws RangeError if there is no such pattern
+ * @throws RangeError if a name is not a key of `patterns`
  */
 export function runExperiment(names: readonly string[] = Object.keys(patterns), seed = 1): Figure[] {
 	return names.flatMap(name => {
 		const run = patterns[name];
 		if (!run) {
-			throw new RangeError(`there is no pattern "${name}"; known are ${Object.keys(patterns).join(', ')}`);
+			throw new RangeError(`unknown pattern "${name}"; expected one of ${Object.keys(patterns).join(', ')}`);
 		}
 
 		return run(seed);
--- a/packages/load/src/model/figure.ts
+++ b/packages/load/src/model/figure.ts
@@ -1,21 +1,21 @@
 /**
- * A figure of a pattern: what callers or trainers received, beside the baseline.
+ * A measured value of a pattern from the callers' or trainers' point of view, compared with the baseline.
  */
 
-/** What a figure must reach. */
+/** Bound that a figure must satisfy. */
 export type Bar = {atLeast: number} | {atMost: number};
 
 export type Figure = {
 	pattern: string;
 	measure: string;
 	real: number;
-	/** On the same arrivals; undefined where the baseline has no such figure. */
+	/** The baseline's value on the same arrivals; undefined if the measure doesn't apply to the baseline. */
 	baseline?: number;
-	/** What it must reach; a figure without one is shown only. */
+	/** Bound that `real` must satisfy; a figure without a bound is informational. */
 	bar?: Bar;
 };
 
-/** Whether the real decisions reach the bar; true if there is none. */
+/** Whether the real decisions satisfy the bound; true if there is none. */
 export function isReached({real, bar}: Figure): boolean {
 	if (!bar) {
 		return true;
--- a/packages/load/src/model/main.ts
+++ b/packages/load/src/model/main.ts
@@ -1,5 +1,5 @@
 /**
- * Prints the experiment: what callers and trainers receive under each pattern of load, beside a baseline.
+ * Implements `wasabiusher-load model`: prints the measures of each simulated load pattern beside those of the baseline.
  */
 import process from 'node:process';
 import {loadSettings} from '@wasabiusher/daemon';
@@ -20,7 +20,11 @@
 	json: z.stringbool().default(false).describe('print a line of JSON a figure'),
 });
 
-/** Runs the experiments that the arguments after `model` name; throws `SettingsError`. */
+/**
+ * Runs the patterns that the arguments after `model` name and prints their figures.
+ *
+ * @throws SettingsError if an argument is invalid
+ */
 export function runModel(): void {
 	const settings = loadSettings(program, '0.1.0', settingsSchema);
 	const figures = settings.sweep ? runRoutingSweep(settings.seed) : runExperiment(settings.patterns, settings.seed);
--- a/packages/load/src/model/placement-patterns.ts
+++ b/packages/load/src/model/placement-patterns.ts
@@ -1,5 +1,5 @@
 /**
- * Two models whose demand swaps shares every 10 minutes, on 6 engines; a change of model takes 15 s.
+ * Placement of two models on 6 engines. The models' shares of the demand swap every 10 minutes; changing the model of an engine takes 15 s.
  */
 import {DemandHistory, planPlacement, type PlacedEndpoint} from '@wasabiusher/decisions';
 import {Random} from '@wasabiusher/shared';
@@ -11,10 +11,10 @@
 const changeMs = 15_000;
 const tickMs = 1000;
 
-/** Demand of the two models in engines; together 90% of what there is. */
+/** Demand of the two models, in engines; together 90% of the capacity. */
 const shares = [3.6, 1.8] as const;
 
-/** Longest that work waits before its caller gives up, in seconds of one engine's work. */
+/** Upper limit of a model's backlog, in seconds of one engine's work; callers beyond it give up. */
 const maxBacklog = 5;
 
 const names = ['range-reports', 'closures'] as const;
@@ -77,5 +77,5 @@
 	];
 }
 
-/** Patterns of placement, by name. */
+/** Placement patterns, by name. */
 export const placementPatterns: Readonly<Record<string, (seed: number) => Figure[]>> = {placement: runSwaps};
--- a/packages/load/src/model/pool.ts
+++ b/packages/load/src/model/pool.ts
@@ -1,23 +1,23 @@
 /**
- * The model's endpoints: so many slots, each of which works off one call at the endpoint's speed.
+ * Simulated endpoints: each has a number of slots, each of which processes one call at the endpoint's speed.
  */
 import type {Random} from '@wasabiusher/shared';
 import {tickMs, type Call} from './call.js';
 
-/** What an endpoint does at a time. */
+/** Health of an endpoint at a time. */
 export type Condition = {
-	/** Work a millisecond on each slot; 1 is healthy. */
+	/** Work done per millisecond on each slot, in milliseconds; 1 is healthy. */
 	speed: number;
-	/** Part of the calls that fail soon after they start. */
+	/** Fraction of the calls that fail soon after they start. */
 	failureRate: number;
 };
 
-/** Condition of each endpoint by its index and the time. */
+/** Returns the condition of an endpoint by its index and the time in milliseconds. */
 export type Conditions = (index: number, now: number) => Condition;
 
 export const healthy: Condition = {speed: 1, failureRate: 0};
 
-/** A call on a slot. */
+/** A call that runs or waits at an endpoint. */
 export type Execution = {
 	call: Call;
 	startedAt: number;
@@ -26,10 +26,10 @@
 	onEnd(hasFailed: boolean, now: number): void;
 };
 
-/** Time after which a failing call fails, in milliseconds: sooner than it would be answered. */
+/** Time after which a failing call fails, in milliseconds; shorter than the usual time to an answer. */
 const failureMs = 20;
 
-/** An endpoint with a line of its own for what is sent over its slots. */
+/** A simulated endpoint with its own unbounded queue for calls beyond its slots. */
 export class ModelEndpoint {
 	readonly id: string;
 	readonly slots: number;
@@ -47,7 +47,7 @@
 		this.#random = random;
 	}
 
-	/** Calls held. */
+	/** Number of calls that run or wait at the endpoint. */
 	get load(): number {
 		return this.#running.length + this.#waiting.length;
 	}
@@ -67,7 +67,7 @@
 		return execution;
 	}
 
-	/** Stops a call; its slot is free at once. */
+	/** Cancels a call and frees its slot immediately. */
 	cancel(execution: Execution): void {
 		this.#running = this.#running.filter(other => other !== execution);
 		const index = this.#waiting.indexOf(execution);
@@ -102,7 +102,7 @@
 	}
 }
 
-/** What a pool is made of. */
+/** Size of a pool and the conditions of its endpoints. */
 export type PoolShape = {endpoints: number; slots: number; conditions?: Conditions};
 
 export function createPool({endpoints, slots, conditions = () => healthy}: PoolShape, random: Random): ModelEndpoint[] {
--- a/packages/load/src/model/report.ts
+++ b/packages/load/src/model/report.ts
@@ -1,5 +1,5 @@
 /**
- * Prints figures as a table for people or lines of JSON for programs.
+ * Formats figures as a human-readable table or as JSON lines.
  */
 import {isReached, type Bar, type Figure} from './figure.js';
 
@@ -25,7 +25,7 @@
 	return isReached(figure) ? 'reached' : 'NOT REACHED';
 }
 
-/** A Markdown table, aligned so that it reads well on a terminal too. */
+/** Returns a Markdown table with padded columns, so that it is also readable on a terminal. */
 export function formatTable(figures: readonly Figure[]): string {
 	const header = ['pattern', 'measure', 'real', 'baseline', 'must reach', ''];
 	const rows = figures.map(figure => [
@@ -36,7 +36,7 @@
 	return [format(header), format(widths.map(width => '-'.repeat(width))), ...rows.map(row => format(row))].join('\n');
 }
 
-/** A line of JSON for each figure. */
+/** Returns one line of JSON per figure. */
 export function formatJson(figures: readonly Figure[]): string {
 	return figures.map(figure => JSON.stringify({...figure, isReached: isReached(figure)})).join('\n');
 }
--- a/packages/load/src/model/run-calls.ts
+++ b/packages/load/src/model/run-calls.ts
@@ -1,5 +1,5 @@
 /**
- * The tick loop of the patterns made of calls, and what callers received.
+ * Runs the tick loop of the call patterns and computes measures of the callers' outcomes.
  */
 import {Random} from '@wasabiusher/shared';
 import {BaselinePolicy} from './baseline-policy.js';
@@ -13,10 +13,10 @@
 
 export type PolicyName = keyof typeof policies;
 
-/** Longest that a run goes on after the last arrival, in milliseconds. */
+/** Upper limit of a run's duration after the last arrival, in milliseconds. */
 const maxTailMs = 300_000;
 
-/** Runs a policy on arrivals until each has ended. */
+/** Runs a policy on the arrivals until each call has an outcome or `maxTailMs` has passed since the last arrival. */
 export function runCalls(name: PolicyName, shape: PoolShape, arrivals: readonly Call[], seed: number): CallRun {
 	const random = new Random(seed);
 	const policy = new policies[name](createPool(shape, random), random);
@@ -33,18 +33,18 @@
 	return policy.run;
 }
 
-/** A value such that the given part of the values is at most it; 0 of none. */
+/** Returns the percentile of the values for a fraction from 0 to 1, or 0 if there are no values. */
 export function findPercentile(values: readonly number[], part: number): number {
 	const sorted = values.toSorted((a, b) => a - b);
 	return sorted[Math.min(sorted.length - 1, Math.floor(part * sorted.length))] ?? 0;
 }
 
-/** Time from sending to answer of those answered in time, in milliseconds. */
+/** Returns the times from sending to answer of the calls answered in time, in milliseconds. */
 export function listTimes(outcomes: readonly CallOutcome[]): number[] {
 	return outcomes.filter(({kind}) => kind === 'answered').map(({call, at}) => at - call.at);
 }
 
-/** Time until the caller was told or gave up, of all but those refused. */
+/** Returns the times until the caller was notified or gave up, in milliseconds, of all calls that were not refused. */
 export function listWaits(outcomes: readonly CallOutcome[]): number[] {
 	return outcomes.filter(({kind}) => kind !== 'refused').map(({call, at}) => at - call.at);
 }
@@ -53,12 +53,12 @@
 	return outcomes.filter(outcome => outcome.kind === kind).length;
 }
 
-/** Part of the outcomes that were answered in time. */
+/** Returns the fraction of the outcomes that were answered in time; 1 if there are none. */
 export function findPartInTime(outcomes: readonly CallOutcome[]): number {
 	return outcomes.length === 0 ? 1 : countKind(outcomes, 'answered') / outcomes.length;
 }
 
-/** Work answered in time from one time to another, in milliseconds of slots. */
+/** Returns the work of the calls answered in time within [from, to), in slot-milliseconds. */
 export function sumWork(outcomes: readonly CallOutcome[], from: number, to: number): number {
 	return outcomes
 		.filter(({kind, at}) => kind === 'answered' && at >= from && at < to)
--- a/packages/load/src/outcome.ts
+++ b/packages/load/src/outcome.ts
@@ -1,34 +1,34 @@
 /**
- * What became of a request, as its caller sees it.
+ * The outcome of a request from its caller's point of view.
  */
 
-/** What is wrong with the system, whatever the load. */
+/** Faults of the system that no load excuses. */
 export type Violation
-	/** Ended as if whole, and was not. */
+	/** Delivered as complete, but truncated, too long or not a completion. */
 	= | 'not-whole'
-	/** Text of another request's answer. */
+	/** Contains text of another request's response. */
 		| 'foreign'
-	/** Taken more than once by the ledger. */
+	/** Recorded more than once by the ledger. */
 		| 'doubled'
-	/** Answered as taken, and not in the ledger. */
+	/** Acknowledged, but not recorded by the ledger. */
 		| 'lost'
-	/** Refused as not run, and in the ledger. */
+	/** Refused as not run, but recorded by the ledger. */
 		| 'untrue-refusal';
 
 export type Outcome = {
 	id: string;
 	/**
-	 * - `answered`: whole
-	 * - `refused`: told that it did not run
-	 * - `unknown`: told, or left to conclude, that it may have run
+	 * - `answered`: received a complete response
+	 * - `refused`: rejected with the statement that it did not run
+	 * - `unknown`: may have run, as an error response says or as no usable response leaves open
 	 */
 	kind: 'answered' | 'refused' | 'unknown';
-	/** From the time at which it was due, in milliseconds. */
+	/** Time from when the request was due until its outcome, in milliseconds. */
 	latencyMs: number;
-	/** To the first content of a stream, from the same time. */
+	/** Time from when the request was due until the first content of a stream, in milliseconds. */
 	firstContentMs?: number;
 	tokens: number;
-	/** Status, or error code. */
+	/** HTTP status, problem kind or error code. */
 	reason: string;
 	violations: Violation[];
 };
--- a/packages/load/src/report.ts
+++ b/packages/load/src/report.ts
@@ -1,11 +1,11 @@
 /**
- * What a run came to.
+ * Summarizes the outcomes of a load run.
  */
 import {build, type Histogram} from 'hdr-histogram-js';
 import type {Outcome} from './outcome.js';
 import type {LoadResult} from './run.js';
 
-/** Greatest latency that the histogram tells apart, in microseconds: an hour. */
+/** Highest latency that the histogram tracks, in microseconds (one hour). */
 const maxLatencyUs = 3_600_000_000;
 
 const percentiles = [50, 90, 99, 99.9] as const;
@@ -18,14 +18,14 @@
 	answered: number;
 	refused: number;
 	unknown: number;
-	/** Answered requests in a second. */
+	/** Answered requests per second. */
 	answeredPerSecond: number;
 	tokensPerSecond: number;
-	/** Of answered requests, in milliseconds. */
+	/** Latency of answered requests, in milliseconds. */
 	latency?: Latency;
-	/** Of streams, in milliseconds. */
+	/** Time to the first content of answered streams, in milliseconds. */
 	firstContent?: Latency;
-	/** Of those not answered. */
+	/** Number of requests that were not answered, by reason. */
 	reasons: Record<string, number>;
 	violations: Record<string, number>;
 };
@@ -77,7 +77,7 @@
 	};
 }
 
-/** Whether callers were told nothing untrue. */
+/** Whether the run had no violations. */
 export function isTrue({violations}: LoadReport): boolean {
 	return Object.keys(violations).length === 0;
 }
@@ -96,7 +96,7 @@
 	return pairs.length === 0 ? [] : [`${name}: ${pairs.join('  ')}`];
 }
 
-/** Lays out the report for people. */
+/** Formats the report as human-readable text. */
 export function formatReport(report: LoadReport): string {
 	const {sent, notSent, answered, refused, unknown, answeredPerSecond, tokensPerSecond} = report;
 	return [
--- a/packages/load/src/run.ts
+++ b/packages/load/src/run.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a load: sends each request when it is due, whether or not those before have been answered.
+ * Runs an open-loop load: sends each request when it is due, whether or not earlier requests have been answered.
  */
 import {Random} from '@wasabiusher/shared';
 import {createArrivals, type Arrival} from './arrivals.js';
@@ -10,12 +10,12 @@
 
 export type LoadResult = {
 	outcomes: Outcome[];
-	/** Requests that were due while too many were open. */
+	/** Requests that fell due while the concurrency limit was reached; they are skipped. */
 	notSent: number;
 	elapsedMs: number;
 };
 
-/** Requests that are due within this time are sent together, in milliseconds: the grain of timers. */
+/** Requests due within this time are sent at once, in milliseconds: timers are no more precise. */
 const grainMs = 1;
 
 export async function runLoad(settings: LoadSettings): Promise<LoadResult> {
@@ -38,7 +38,7 @@
 		const dueAt = startedAt + arrival.atMs;
 		const remainingMs = dueAt - performance.now();
 		if (remainingMs > grainMs) {
-			// Requests are sent in order of time.
+			// Requests are sent in the order in which they are due.
 			// eslint-disable-next-line no-await-in-loop
 			await wait(remainingMs);
 		}
@@ -60,7 +60,7 @@
 	});
 }
 
-/** Adds what the ledgers' counts show to be wrong. */
+/** Adds the violations found by comparing the outcomes of postings with the ledgers' counts. */
 async function checkPostings({kind, ledgers}: LoadSettings, outcomes: Outcome[]): Promise<Outcome[]> {
 	if (kind !== 'posting' || ledgers.length === 0) {
 		return outcomes;
--- a/packages/load/src/sender.ts
+++ b/packages/load/src/sender.ts
@@ -1,5 +1,5 @@
 /**
- * Sends one request and tells what became of it.
+ * Sends requests and classifies their outcomes.
  */
 import {Agent, request, type Dispatcher} from 'undici';
 import {z} from 'zod';
@@ -10,7 +10,7 @@
 import type {Outcome} from './outcome.js';
 import type {LoadSettings} from './settings.js';
 
-/** Beyond the deadline, how long an answer is waited for, in milliseconds; then the system has not kept it. */
+/** How long a response is awaited beyond the deadline, in milliseconds; after that, the system has missed the deadline. */
 const graceMs = 5000;
 
 const problemSchema = z.looseObject({kind: z.string(), ran: z.enum(['no', 'yes', 'unknown'])});
@@ -19,7 +19,7 @@
 
 type Reader = (response: Dispatcher.ResponseData, expectation: Expectation, dueAt: number) => Promise<Findings>;
 
-/** Sends requests of one kind to the entries in turn. */
+/** Sends requests of one kind to the entries, round-robin. */
 export class Sender {
 	readonly #settings: LoadSettings;
 	readonly #agent: Agent;
@@ -31,12 +31,12 @@
 		this.#agent = new Agent({connections: settings.concurrency});
 	}
 
-	/** Requests without an outcome so far. */
+	/** Number of requests that have no outcome yet. */
 	get open(): number {
 		return this.#open;
 	}
 
-	/** @param dueAt - when the request was to be sent, on the monotonic clock */
+	/** @param dueAt - when the request was due, in milliseconds on the monotonic clock */
 	async send(arrival: Arrival, dueAt: number): Promise<Outcome> {
 		this.#open += 1;
 		const findings = await this.#exchange(arrival, dueAt).catch((error: unknown): Findings => ({
@@ -83,7 +83,7 @@
 
 	#createBody({id, tokens}: Arrival): Record<string, unknown> {
 		const {kind, model} = this.#settings;
-		// The protocol's name for it.
+		// The protocol's spelling of the field.
 		const maxTokens = 'max_tokens';
 		const completion = {
 			model, prompt: `tag=${id}`, [maxTokens]: tokens, stream: kind === 'stream',
--- a/packages/load/src/settings.ts
+++ b/packages/load/src/settings.ts
@@ -1,15 +1,15 @@
 /**
- * Settings of a run of load. All of it is bounded: in requests, in time and in requests at once.
+ * Settings of a load run. Every run is bounded in requests, duration and concurrent requests.
  */
 import {z} from 'zod';
 
-/** Most requests of one run. */
+/** Upper limit of requests per run. */
 const maxRequests = 1_000_000;
 
-/** Longest run, in seconds: an hour. */
+/** Upper limit of a run's duration, in seconds (one hour). */
 const maxSeconds = 3600;
 
-/** `a,b` as a list of origins. */
+/** Parses a comma-separated list of origins. */
 const originsSchema = z.string().transform(text => text.split(',').map(origin => origin.trim()).filter(Boolean)).pipe(z.array(z.url()));
 
 export const loadSettingsSchema = z.object({
