--- a/packages/load/__tests__/arrivals.spec.ts
+++ b/packages/load/__tests__/arrivals.spec.ts
@@ -15,7 +15,7 @@
 }
 
 describe('createArrivals', () => {
-	it('keeps to the average rate in order of time, whatever the pattern', () => {
+	it('draws sorted arrivals at the average rate for every pattern', () => {
 		for (const pattern of ['steady', 'burst', 'hot-caller', 'long-among-short'] as const) {
 			const arrivals = create(pattern);
 			expect(arrivals.length, pattern).to.be.within(9000, 11_000);
@@ -24,20 +24,20 @@
 		}
 	});
 
-	it('puts half of the requests into the bursts', () => {
+	it('draws half of the requests within bursts', () => {
 		expect(countWhere(create('burst'), ({atMs}) => atMs % 5000 < 500)).to.be.within(0.45, 0.55);
 	});
 
-	it('lets one caller send most', () => {
+	it('assigns most requests to one caller under hot-caller', () => {
 		expect(countWhere(create('hot-caller'), ({caller}) => caller === 'caller-0')).to.be.within(0.78, 0.86);
 		expect(countWhere(create('steady'), ({caller}) => caller === 'caller-0')).to.be.within(0.08, 0.12);
 	});
 
-	it('puts few long ones among the short', () => {
+	it('draws few long requests under long-among-short', () => {
 		expect(countWhere(create('long-among-short'), ({tokens}) => tokens === 160)).to.be.within(0.04, 0.06);
 	});
 
-	it('stops at the most requests, and repeats by its seed', () => {
+	it('stops at the limit of requests and is reproducible by its seed', () => {
 		expect(create('steady', {requests: '7'})).to.have.lengthOf(7);
 		expect(create('burst')).to.deep.equal(create('burst'));
 		expect(create('burst', {seed: '2'})).not.to.deep.equal(create('burst'));
--- a/packages/load/__tests__/patterns.spec.ts
+++ b/packages/load/__tests__/patterns.spec.ts
@@ -2,12 +2,12 @@
 import {isReached} from '../src/model/figure.js';
 import {patterns, runExperiment} from '../src/model/experiment.js';
 
-/** Any seed will do for the patterns; this one is fixed so that the verdict is the same on each run. */
+/** The patterns work with any seed; it is fixed so that every run gives the same result. */
 const seed = 1;
 
 /**
- * Longest time for one pattern, in milliseconds. A pattern is some seconds of computing, and says nothing of the machine: "step" takes six where little else runs
- * and took more than twenty beside eight busy processes.
+ * Timeout of one pattern, in milliseconds. A pattern computes for some seconds, and its figures don't depend on the speed of the machine: "step" takes 6 s on an
+ * idle machine and took more than 20 s beside eight busy processes.
  */
 const timeoutMs = 180_000;
 
@@ -15,18 +15,18 @@
 	this.timeout(timeoutMs);
 
 	for (const name of Object.keys(patterns)) {
-		it(`reaches what is asked under ${name}`, () => {
+		it(`satisfies the bounds of ${name}`, () => {
 			const figures = runExperiment([name], seed);
 			expect(figures.some(({bar}) => bar)).to.equal(true);
 			expect(figures.filter(figure => !isReached(figure)).map(({measure, real}) => `${measure}: ${real}`)).to.deep.equal([]);
 		});
 	}
 
-	it('gives the same figures for the same seed', () => {
+	it('returns the same figures for the same seed', () => {
 		expect(runExperiment(['burst', 'placement'], 2)).to.deep.equal(runExperiment(['burst', 'placement'], 2));
 	});
 
-	it('says which patterns there are', () => {
+	it('lists the known patterns in the error for an unknown one', () => {
 		expect(() => runExperiment(['no-such'])).to.throw(RangeError, 'overload-2x');
 	});
 });
--- a/packages/load/__tests__/run.spec.ts
+++ b/packages/load/__tests__/run.spec.ts
@@ -34,7 +34,7 @@
 		})));
 	}
 
-	/** Answers completions with what `answer` makes of their tag. */
+	/** Responds to completion requests with the text that `answer` returns for the tag and number of tokens. */
 	function serveText(answer: (tag: string, count: number) => string): void {
 		server.on('post', '/v1/completions', async ({request, response}) => {
 			const {prompt, max_tokens: count, stream} = await readJson(request) as Body;
@@ -47,7 +47,7 @@
 		});
 	}
 
-	it('finds nothing wrong with whole answers', async () => {
+	it('reports no violations for complete answers', async () => {
 		serveText(formatTokens);
 		const report = await run({kind: 'call'});
 		expect(report).to.deep.include({
@@ -57,14 +57,14 @@
 		expect(report.latency!.p50).to.be.greaterThan(0);
 	});
 
-	it('finds answers that are cut short, doubled in part or of another request', async () => {
+	it('reports answers that are truncated or belong to another request', async () => {
 		const answers: Record<string, (tag: string, count: number) => string> = {
 			'not-whole': (tag, count) => formatTokens(tag, count - 1),
 			foreign: (_tag, count) => formatTokens('other', count),
 		};
 		for (const [violation, answer] of Object.entries(answers)) {
 			serveText(answer);
-			// One after the other, since both use the same route.
+			// Runs sequentially, since both answers use the same route.
 			// eslint-disable-next-line no-await-in-loop
 			const {violations} = await run({kind: 'call'});
 			expect(violations).to.deep.equal({[violation]: 10});
@@ -76,7 +76,7 @@
 		}
 	});
 
-	it('takes a stream for answered only with its terminal event', async () => {
+	it('counts a stream as answered only after its terminal event', async () => {
 		serveText((tag, count) => `${chunk(formatTokens(tag, count))}data: [DONE]\n\n`);
 		expect(await run({kind: 'stream'})).to.deep.include({answered: 10, violations: {}});
 		await server.kill();
@@ -86,7 +86,7 @@
 		expect(await run({kind: 'stream'})).to.deep.include({answered: 0, unknown: 10, reasons: {'cut-off': 10}});
 	});
 
-	it('tells refusals from what may have run', async () => {
+	it('distinguishes refusals from requests that may have run', async () => {
 		let count = 0;
 		server.on('post', '/v1/completions', ({response}) => {
 			count += 1;
@@ -95,7 +95,7 @@
 		expect(await run({})).to.deep.include({refused: 5, unknown: 5, reasons: {unavailable: 10}});
 	});
 
-	it('compares what was told of postings with what the ledger has taken', async () => {
+	it('compares the outcomes of postings with the counts of the ledger', async () => {
 		const counts: Record<string, number> = {};
 		server.on('post', '/ledger/postings', async ({request, response}) => {
 			const {key} = await readJson(request) as {key: string};
@@ -114,7 +114,7 @@
 		expect(violations).to.deep.equal({doubled: 2, lost: 2, 'untrue-refusal': 2});
 	});
 
-	it('sends no more at once than it may', async () => {
+	it('keeps to the concurrency limit', async () => {
 		const open: Array<() => void> = [];
 		server.on('post', '/v1/completions', ({response}) => {
 			open.push(() => {
@@ -139,13 +139,13 @@
 });
 
 describe('judgePosting', () => {
-	it('allows an unknown one to be taken once at the most', () => {
+	it('allows a posting with an unknown outcome to be recorded at most once', () => {
 		expect([0, 1, 2].map(count => judgePosting({kind: 'unknown'}, count))).to.deep.equal([[], [], ['doubled']]);
 	});
 });
 
 describe('checkOrigins', () => {
-	it('keeps load on this machine unless told otherwise', () => {
+	it('rejects remote origins unless they are allowed', () => {
 		checkOrigins(['http://127.0.0.1:1', 'http://[::1]:2'], false);
 		checkOrigins(['http://192.0.2.1:1'], true);
 		expect(() => {
--- a/packages/load/src/ledger-check.ts
+++ b/packages/load/src/ledger-check.ts
@@ -22,19 +22,19 @@
 }
 
 /** Number of recorded postings that each kind of outcome permits, and the violation if there are fewer. */
-const promises: Readonly<Record<Outcome['kind'], {most: number; least: number; tooFew: Violation}>> = {
-	answered: {least: 1, most: 1, tooFew: 'lost'},
-	refused: {least: 0, most: 0, tooFew: 'lost'},
-	unknown: {least: 0, most: 1, tooFew: 'lost'},
+const permittedCounts: Readonly<Record<Outcome['kind'], {max: number; min: number; tooFew: Violation}>> = {
+	answered: {min: 1, max: 1, tooFew: 'lost'},
+	refused: {min: 0, max: 0, tooFew: 'lost'},
+	unknown: {min: 0, max: 1, tooFew: 'lost'},
 };
 
 export function judgePosting({kind}: Pick<Outcome, 'kind'>, count: number): Violation[] {
-	const {least, most, tooFew} = promises[kind];
-	if (count < least) {
+	const {min, max, tooFew} = permittedCounts[kind];
+	if (count < min) {
 		return [tooFew];
 	}
 
-	if (count <= most) {
+	if (count <= max) {
 		return [];
 	}
 
--- a/packages/load/src/model/call-patterns.ts
+++ b/packages/load/src/model/call-patterns.ts
@@ -1,6 +1,6 @@
 /**
- * The patterns made of calls, on 6 endpoints of 8 slots unless stated, with calls of 100–300 ms and a deadline of 1 s:
- * 48 slots, 240 calls a second.
+ * Load patterns of calls. Unless stated otherwise, the pool has 6 endpoints of 8 slots (48 slots, 240 calls per second), and
+ * calls take 100–300 ms and have a deadline of 1 s.
  */
 import {Random} from '@wasabiusher/shared';
 import {
@@ -18,7 +18,7 @@
 const meanMs = 200;
 const deadlineMs = 1000;
 
-/** Calls a second that fill the pool. */
+/** Calls per second that use the pool fully. */
 const capacity = slots * 1000 / meanMs;
 
 const callers = Array.from({length: 10}, (_, i) => `caller-${i}`);
@@ -33,7 +33,7 @@
 	return {real: runCalls('real', shape, arrivals, seed), baseline: runCalls('baseline', shape, arrivals, seed)};
 }
 
-/** Takes the same measure of both runs. */
+/** Computes the same measure of both runs. */
 function measure({real, baseline}: Pair, take: (run: CallRun) => number): {real: number; baseline: number} {
 	return {real: take(real), baseline: take(baseline)};
 }
@@ -42,8 +42,8 @@
 	return outcomes.filter(({call}) => call.at >= from && call.at < to);
 }
 
-/** Least part of the capacity that was answered in time in any window. */
-function findLeastGoodput({outcomes}: CallRun, from: number, to: number): number {
+/** Returns the lowest goodput of any 5 s window, as a fraction of the capacity. */
+function findMinGoodput({outcomes}: CallRun, from: number, to: number): number {
 	const windowMs = 5000;
 	let least = Number.POSITIVE_INFINITY;
 	for (let start = from; start + windowMs <= to; start += windowMs) {
@@ -53,17 +53,20 @@
 	return least;
 }
 
-/** Seconds after a time until each later second has its calls answered in time and nearly as fast as normal. */
+/**
+ * Returns the seconds after `from` until the run is back to normal. From then on, at least 99% of each second's calls are answered in time,
+ * with a median time of at most 1.2 times `normalMs`.
+ */
 function findRecovery(run: CallRun, normalMs: number, from: number, to: number): number {
-	let recoveredAt = from;
+	let normalSince = from;
 	for (let start = from; start < to; start += 1000) {
 		const sent = sentBetween(run, start, start + 1000);
 		if (findPartInTime(sent) < 0.99 || findPercentile(listTimes(sent), 0.5) > 1.2 * normalMs) {
-			recoveredAt = start + 1000;
+			normalSince = start + 1000;
 		}
 	}
 
-	return (recoveredAt - from) / 1000;
+	return (normalSince - from) / 1000;
 }
 
 function runOverload(factor: number, seed: number): Figure[] {
@@ -75,7 +78,7 @@
 	const mostWaiting = measure(pair, run => run.mostWaiting);
 	return [
 		{
-			pattern, measure: 'least part of capacity answered in time, 5 s windows', ...measure(pair, run => findLeastGoodput(run, 20_000, 80_000)), bar: {atLeast: 0.95},
+			pattern, measure: 'least part of capacity answered in time, 5 s windows', ...measure(pair, run => findMinGoodput(run, 20_000, 80_000)), bar: {atLeast: 0.95},
 		},
 		{
 			pattern, measure: 'seconds until normal after it', ...recovery, bar: {atMost: 5},
@@ -101,7 +104,7 @@
 		{
 			pattern, measure: 'part of the admitted that expired waiting', real: admitted.filter(({hasExpired}) => hasExpired).length / admitted.length, bar: {atMost: 0.01},
 		},
-		// 8 slots for 2 s of calls of 200 ms.
+		// 8 slots can answer 80 calls of 200 ms within the deadline of 2 s.
 		{
 			pattern, measure: 'answered in time, of 80 possible', ...measure(pair, run => countKind(run.outcomes, 'answered')), bar: {atLeast: 56},
 		},
@@ -127,14 +130,14 @@
 	];
 }
 
-/** One endpoint is ill from 20 s to 50 s. */
-function createIllness(condition: ReturnType<Conditions>): Conditions {
+/** Applies the condition to the first endpoint from 20 s to 50 s; all else is healthy. */
+function createUnhealthyPeriod(condition: ReturnType<Conditions>): Conditions {
 	return (index, now) => index === 0 && now >= 20_000 && now < 50_000 ? condition : healthy;
 }
 
-function runIllEndpoint(pattern: string, condition: ReturnType<Conditions>, seed: number): Figure[] {
+function runUnhealthyEndpoint(pattern: string, condition: ReturnType<Conditions>, seed: number): Figure[] {
 	const arrivals = createArrivals([steady], 70_000, new Random(seed));
-	const pair = runBoth({...pool, conditions: createIllness(condition)}, arrivals, seed);
+	const pair = runBoth({...pool, conditions: createUnhealthyPeriod(condition)}, arrivals, seed);
 	const normal = measure(pair, run => findPercentile(listWaits(sentBetween(run, 5000, 20_000)), 0.99));
 	const ill = measure(pair, run => findPercentile(listWaits(sentBetween(run, 23_000, 50_000)), 0.99));
 	const ejections = pair.real.ejections.filter(({endpoint}) => endpoint === 'endpoint-0');
@@ -155,7 +158,7 @@
 	];
 }
 
-/** Work done of a class from 10 s on, while both kinds were sent. */
+/** Returns the work of a class that was answered in time from 10 s until `to`, in slot-milliseconds. */
 function sumClassWork(run: CallRun, name: Call['class'], to: number): number {
 	return sumWork(run.outcomes.filter(({call}) => call.class === name), 10_000, to);
 }
@@ -173,7 +176,7 @@
 	return {alone, both, part};
 }
 
-/** Work from a twentieth to several times the mean (lognormal, capped at ten times). */
+/** Returns a generator of lognormal work, from about a twentieth of the mean to several times the mean, capped at ten times the mean. */
 export function drawHeavyTailed(mean: number, sigma: number): (random: Random) => number {
 	return random => {
 		const normal = Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
@@ -204,7 +207,7 @@
 
 function runInteractiveOverRollouts(seed: number): Figure[] {
 	const pattern = 'interactive over rollouts at full load';
-	// Twice the usual for three seconds of each ten.
+	// The rate doubles for three of every ten seconds.
 	const interactive: Traffic = {...steady, rate: now => capacity * (now % 10_000 < 3000 ? 0.3 : 0.15)};
 	const {both, part} = runMixed(pattern, interactive, longJobs, seed);
 	const inTime = ({outcomes}: CallRun) => findPartInTime(outcomes.filter(({call}) => call.class === 'interactive'));
@@ -234,14 +237,14 @@
 	];
 }
 
-/** Patterns made of calls, by name. */
+/** Patterns of calls, by name. */
 export const callPatterns: Readonly<Record<string, (seed: number) => Figure[]>> = {
 	'overload-2x': seed => runOverload(2, seed),
 	'overload-5x': seed => runOverload(5, seed),
 	burst: runBurst,
 	'hot-caller': runHotCaller,
-	'slow-endpoint': seed => runIllEndpoint('one endpoint of 6 ten times slower', {speed: 0.1, failureRate: 0}, seed),
-	'failing-endpoint': seed => runIllEndpoint('one endpoint of 6 failing half its calls', {speed: 1, failureRate: 0.5}, seed),
+	'slow-endpoint': seed => runUnhealthyEndpoint('one endpoint of 6 ten times slower', {speed: 0.1, failureRate: 0}, seed),
+	'failing-endpoint': seed => runUnhealthyEndpoint('one endpoint of 6 failing half its calls', {speed: 1, failureRate: 0.5}, seed),
 	'long-among-short': runLongAmongShort,
 	'interactive-over-rollouts': runInteractiveOverRollouts,
 	'retry-storm': runRetryStorm,
--- a/packages/load/src/model/real-policy.ts
+++ b/packages/load/src/model/real-policy.ts
@@ -1,5 +1,5 @@
 /**
- * The real decisions over the model's endpoints, joined as the entry and agents join them.
+ * Applies the real decisions to the simulated endpoints, combined as in the entry and the agents.
  */
 import {
 	Admission, chooseEndpoint, ConcurrencyLimit, decideRetry, DrainRate, Ejection, FairQueue, Headroom, LoadEstimator, RetryBudget,
@@ -11,24 +11,24 @@
 } from './call.js';
 import type {Execution, ModelEndpoint} from './pool.js';
 
-/** Load reports: how often they are made and how late they come, in milliseconds. */
+/** Interval and delay of load reports, in milliseconds. */
 const reportEveryMs = 200;
 const reportLagMs = 500;
 
-/** Usual time of a call, which tells how soon a report is out of date, in milliseconds. */
+/** Typical duration of a call, in milliseconds; it determines how soon a load report is outdated. */
 const serviceMs = 200;
 
-/** Weight of a new measurement in an endpoint's time for a call. */
+/** Weight of a new measurement in the moving average of an endpoint's slowness. */
 const timeSmoothing = 0.1;
 
-/** Work of a probe in milliseconds. */
+/** Work of a probe, in milliseconds. */
 const probeWorkMs = 100;
 
 type Site = {
 	endpoint: ModelEndpoint;
 	load: LoadEstimator;
 	limit: ConcurrencyLimit;
-	/** Time of a call over the expected. */
+	/** Moving average of the ratio of actual to expected duration of calls. */
 	slowness: number;
 	reports: Array<{load: number; measuredAt: number}>;
 };
@@ -57,7 +57,7 @@
 	readonly #rate: DrainRate;
 	readonly #waiting = new Map<string, Job>();
 	readonly #running = new Set<Job>();
-	/** Interactive calls that run. */
+	/** Number of interactive calls that are running. */
 	#interactive = 0;
 	readonly #retries: Array<{job: Job; at: number}> = [];
 
@@ -175,7 +175,7 @@
 		this.#end(call, now <= call.deadlineAt ? 'answered' : 'late', now);
 	}
 
-	/** The job no longer holds a slot. */
+	/** Removes a job from its endpoint's slot. */
 	#leave(job: Job, now: number): void {
 		this.#running.delete(job);
 		this.#interactive -= job.call.class === 'interactive' ? 1 : 0;
@@ -195,7 +195,7 @@
 		}
 	}
 
-	/** Tries a job elsewhere that runs too long at an ejected endpoint. */
+	/** Cancels a job that runs too long at an ejected endpoint and retries it. */
 	#move(job: Job, now: number): void {
 		job.site!.endpoint.cancel(job.execution!);
 		this.#leave(job, now);
@@ -256,7 +256,7 @@
 		}
 	}
 
-	/** Probes are calls of their own; no caller waits for them. */
+	/** Probes ejected endpoints with separate calls that no caller waits for. */
 	#probe(now: number): void {
 		for (const {endpoint} of this.#sites) {
 			if (this.#ejection.tryStartProbe(endpoint.id, now)) {
--- a/packages/load/src/model/routing-sweep.ts
+++ b/packages/load/src/model/routing-sweep.ts
@@ -1,6 +1,6 @@
 /**
- * The sweep of routing: 8 entries that don't hear of one another, 64 endpoints of 8 slots whose reports come 500 ms late,
- * 85% load of calls of 100–300 ms. A quarter of the calls come in groups of eight with one long prompt.
+ * Compares values of the routing constants: 8 entries that don't communicate, 64 endpoints of 8 slots whose load reports are
+ * delayed by 500 ms, and 85% load of calls of 100–300 ms. A quarter of the calls arrive in groups of eight that share a long prompt.
  */
 import {
 	chooseEndpoint, LoadEstimator, PrefixIndex, type Candidate,
@@ -21,13 +21,13 @@
 const reportEveryMs = 200;
 const reportLagMs = 500;
 
-/** Calls of one group, all with the same prompt. */
+/** Number of calls in a group; all have the same prompt. */
 const groupSize = 8;
 
-/** One call in so many begins a group. */
+/** One of this many consecutive blocks of `groupSize` calls shares a prompt; the calls of the others have prompts of their own. */
 const groupEvery = 4;
 
-/** What computing a group's prompt anew costs, in milliseconds of a slot. */
+/** Cost of computing a group's prompt without a cache hit, in slot-milliseconds. */
 const promptMs = 100;
 
 export type RoutingVariant = {choices: number; hasAffinity: boolean; isCorrected: boolean};
@@ -36,13 +36,13 @@
 
 type RoutingRun = {p99Ms: number; computed: number};
 
-/** Name of the prompt that a call shares with its group; undefined for those that are by themselves. */
+/** Returns the name of the prompt that a call shares with its group, or undefined for a call without a group. */
 function findPrompt(index: number): string | undefined {
 	const group = Math.floor(index / groupSize);
 	return group % groupEvery === 0 ? `group-${group}` : undefined;
 }
 
-/** Runs one variant: p99 until answered, and the part of the grouped calls whose prompt was computed anew. */
+/** Runs one variant. Returns the p99 time to an answer and the fraction of grouped calls whose prompt was not cached at the endpoint. */
 export function runRouting(variant: RoutingVariant, seed: number): RoutingRun {
 	const random = new Random(seed);
 	const endpoints = createPool({endpoints: endpointCount, slots}, random);
@@ -60,7 +60,7 @@
 		report(endpoints, entries, reports, {now, isCorrected: variant.isCorrected});
 		for (; next < arrivals.length && arrivals[next]!.at <= now; next++) {
 			const prompt = findPrompt(next);
-			// A group is drawn by one entry, that which its trainer is connected to.
+			// All calls of a group go through the entry that their trainer is connected to.
 			const entry = entries[(prompt === undefined ? next : Math.floor(next / groupSize)) % entryCount]!;
 			const index = choose(entry, endpoints, {
 				variant, prompt, random, now,
@@ -88,7 +88,7 @@
 		load: variant.isCorrected ? loads[index]!.estimate(now, meanMs) : loads[index]!.load,
 		limit: slots,
 		serviceMs: meanMs,
-		// The prompt is a part of the work of a call.
+		// The prompt is only a part of a call's work, so a full match counts as that part.
 		cached: variant.hasAffinity ? prefixes.match(id, blocks) * promptMs / (promptMs + meanMs) : 0,
 	}));
 	const {id} = chooseEndpoint(candidates, random, {choices: variant.choices})!;
@@ -96,7 +96,7 @@
 	return candidates.findIndex(candidate => candidate.id === id);
 }
 
-/** Sends a call that an entry counts, and notes its time when it is answered. */
+/** Sends a call, counts it in the entry's load estimate and records its duration once it is answered. */
 function send(endpoint: ModelEndpoint, load: LoadEstimator, call: Call, {now, times}: {now: number; times: number[]}): void {
 	load.recordSent(now);
 	endpoint.start(call, now, (_, at) => {
@@ -105,10 +105,10 @@
 	});
 }
 
-/** Loads of all endpoints as they were at some time. */
+/** Loads of all endpoints as measured at one time. */
 type Report = {measuredAt: number; loads: number[]};
 
-/** Measures the loads and lets entries hear of those measured a while ago. */
+/** Measures the loads and delivers to the entries the reports that are at least `reportLagMs` old. */
 function report(endpoints: readonly ModelEndpoint[], entries: readonly Entry[], reports: Report[], {now, isCorrected}: {now: number; isCorrected: boolean}): void {
 	if (now % reportEveryMs !== 0) {
 		return;
@@ -119,19 +119,19 @@
 		const {measuredAt, loads} = reports.shift()!;
 		for (const entry of entries) {
 			for (const [index, held] of loads.entries()) {
-				// Uncorrected, the entry takes the report for what is there now.
+				// Without the correction, the entry treats the reported load as the current one.
 				entry.loads[index]!.receive({load: held, measuredAt: isCorrected ? measuredAt : now});
 			}
 		}
 	}
 }
 
-const choicesSwept = [1, 2, 3, 4, 8, 64] as const;
+const comparedChoices = [1, 2, 3, 4, 8, 64] as const;
 
-/** Figures of the sweep; none has a bar, as they are the grounds of the constants in `routing.ts`. */
+/** Returns the figures of the sweep; they have no bounds, as they are the basis for choosing the constants in `routing.ts`. */
 export function runRoutingSweep(seed: number): Figure[] {
 	const pattern = 'routing by 8 entries to 64 endpoints';
-	const figures = choicesSwept.flatMap(choices => {
+	const figures = comparedChoices.flatMap(choices => {
 		const {p99Ms, computed} = runRouting({choices, hasAffinity: true, isCorrected: true}, seed);
 		const blind = runRouting({choices, hasAffinity: false, isCorrected: false}, seed);
 		return [
--- a/packages/load/src/model/step-patterns.ts
+++ b/packages/load/src/model/step-patterns.ts
@@ -1,6 +1,6 @@
 /**
- * A step of 2,048 samples in groups of 8 with heavy-tailed lengths, on 6 engines of 32 slots, one of which
- * makes half as many tokens a second as the others.
+ * Load pattern of one training step: 2,048 samples in groups of 8 with heavy-tailed lengths, on 6 engines of 32 slots. One engine
+ * generates half as many tokens per second as the others.
  */
 import {
 	chooseSample, LengthPrediction, orderSamples, planCopies, type PendingSample,
@@ -15,21 +15,21 @@
 const maxTokens = 6000;
 const meanTokens = 1000;
 
-/** Tokens a millisecond of each slot of each engine. */
+/** Tokens per millisecond of each slot, by engine. */
 const speeds = [0.1, 0.1, 0.1, 0.1, 0.1, 0.05];
 
 const tickMs = 200;
 
-/** How often the order is made anew, in milliseconds. */
+/** Interval at which the samples are reordered, in milliseconds. */
 const reorderMs = 1000;
 
-/** A sample and what is to be found out: its length. */
+/** A sample and its length, which the policy doesn't know beforehand. */
 type Sample = {group: number; index: number; tokens: number};
 
 /** One run of a sample on a slot. */
 type Attempt = {sample: Sample; engine: number; made: number; isCopy: boolean};
 
-/** Lengths vary between prompts, and half as much between the samples of one. */
+/** Draws the samples of a step. The lengths vary between prompts, and half as much between the samples of a prompt. */
 function drawStep(random: Random): Sample[] {
 	const drawGroup = drawHeavyTailed(meanTokens, 0.8);
 	const drawSample = drawHeavyTailed(1, 0.4);
@@ -39,7 +39,7 @@
 	}).flat();
 }
 
-/** No order makes a step whole earlier than this, in milliseconds. */
+/** Returns a lower bound of the time to complete a step in any order, in milliseconds. */
 function findLowerBound(samples: readonly Sample[]): number {
 	const work = samples.reduce((sum, {tokens}) => sum + tokens, 0);
 	const capacity = speeds.reduce((sum, speed) => sum + (speed * slotsPerEngine), 0);
@@ -48,9 +48,9 @@
 
 type StepRun = {wholeMs: number; madeTokens: number; copies: number};
 
-/** Chooses what starts next, and what is copied late. */
+/** Chooses the next sample to start and the running samples to copy near the end of a step. */
 type StepPolicy = {
-	/** Next sample for an engine with a free slot. */
+	/** Returns the next sample for an engine that has a free slot. */
 	next(engine: number, left: Map<string, Sample>): Sample | undefined;
 	finish(sample: Sample): void;
 	progress(attempts: readonly Attempt[]): void;
@@ -61,11 +61,11 @@
 	return `${group}/${index}`;
 }
 
-/** The real decisions. */
+/** Orders and copies samples by the real decisions. */
 class RealOrder implements StepPolicy {
 	readonly #prediction: LengthPrediction;
 	#order: PendingSample[] = [];
-	#hasNews = true;
+	#needsReorder = true;
 	#ticksSince = 0;
 	#timeLeftMs = 0;
 
@@ -74,13 +74,13 @@
 	}
 
 	next(engine: number, left: Map<string, Sample>): Sample | undefined {
-		if (this.#hasNews) {
+		if (this.#needsReorder) {
 			this.#reorder(left);
 		}
 
 		const ordered = this.#order.filter(sample => left.has(formatKey(sample)));
 		this.#order = ordered;
-		// The fastest engines take the longest first; the others what they can finish in time.
+		// The fastest engines start the longest samples first; the others start samples that they can finish in time.
 		const chosen = speeds[engine] === Math.max(...speeds) ? ordered[0] : chooseSample(ordered, speeds[engine]!, this.#timeLeftMs);
 		return chosen && left.get(formatKey(chosen));
 	}
@@ -95,19 +95,19 @@
 		}
 
 		this.#ticksSince += 1;
-		this.#hasNews = this.#ticksSince * tickMs >= reorderMs;
+		this.#needsReorder = this.#ticksSince * tickMs >= reorderMs;
 	}
 
 	copy(attempts: readonly Attempt[], idle: readonly number[], startedFraction: number) {
 		const running = new Map(attempts.map(attempt => [formatKey(attempt.sample), attempt]));
-		const doubled = new Set(attempts.filter(({isCopy}) => isCopy).map(({sample}) => formatKey(sample)));
+		const copied = new Set(attempts.filter(({isCopy}) => isCopy).map(({sample}) => formatKey(sample)));
 		const capacity = speeds.reduce((sum, speed) => sum + (speed * slotsPerEngine), 0);
 		const remaining = [...running].map(([id, {sample, made}]) => ({id, tokens: this.#prediction.predictRemaining('step', `${sample.group}`, made, maxTokens)}));
 		const stepLeftMs = this.#timeLeftMs + (remaining.reduce((sum, {tokens}) => sum + tokens, 0) / capacity);
 		const stragglers = remaining.map(({id, tokens}) => {
 			const {engine, made} = running.get(id)!;
 			return {
-				id, endpoint: `${engine}`, remainingTokens: tokens, madeTokens: made, speed: speeds[engine]!, hasCopy: doubled.has(id), stepLeftMs,
+				id, endpoint: `${engine}`, remainingTokens: tokens, madeTokens: made, speed: speeds[engine]!, hasCopy: copied.has(id), stepLeftMs,
 			};
 		});
 		const places = idle.map((slots, engine) => ({id: `${engine}`, slots, speed: speeds[engine]!}));
@@ -115,7 +115,7 @@
 	}
 
 	#reorder(left: Map<string, Sample>): void {
-		this.#hasNews = false;
+		this.#needsReorder = false;
 		this.#ticksSince = 0;
 		this.#order = orderSamples([...left.values()].map(({group, index}) => ({
 			group, index, predictedTokens: this.#prediction.predict('step', `${group}`, maxTokens), isUnknown: !this.#prediction.hasFinishedSample('step', `${group}`),
@@ -125,27 +125,27 @@
 	}
 }
 
-/** First come first served; each sample goes to a random engine beforehand. */
+/** Assigns each sample to a random engine in advance; each engine runs its samples first come, first served. */
 class BaselineOrder implements StepPolicy {
-	readonly #lines: Sample[][];
+	readonly #queues: Sample[][];
 
 	constructor(samples: readonly Sample[], random: Random) {
-		this.#lines = speeds.map(() => []);
+		this.#queues = speeds.map(() => []);
 		for (const sample of samples) {
-			random.pick(this.#lines).push(sample);
+			random.pick(this.#queues).push(sample);
 		}
 	}
 
 	next(engine: number): Sample | undefined {
-		return this.#lines[engine]!.shift();
+		return this.#queues[engine]!.shift();
 	}
 
 	finish(): void {
-		// Learns nothing.
+		// The baseline makes no predictions.
 	}
 
 	progress(): void {
-		// As above.
+		// The baseline makes no predictions.
 	}
 
 	copy(): never[] {
@@ -196,7 +196,7 @@
 
 function start(attempts: Attempt[], left: Map<string, Sample>, policy: StepPolicy): void {
 	const idle = listIdle(attempts);
-	// The fastest engines first; slot by slot, so that long samples spread.
+	// Fills the engines slot by slot, the fastest engines first, so that long samples are spread over them.
 	for (let slot = 0; slot < slotsPerEngine; slot++) {
 		for (const [engine, free] of idle.entries()) {
 			const sample = slot < free ? policy.next(engine, left) : undefined;
@@ -210,7 +210,7 @@
 	}
 }
 
-/** Time that the trainer trains on a step, in milliseconds; what it waits beyond is idle. */
+/** Training time per step, in milliseconds; the trainer is idle while it waits for samples. */
 const trainMs = 60_000;
 
 function runStepPattern(seed: number): Figure[] {
@@ -219,7 +219,7 @@
 	const bound = findLowerBound(samples);
 	const prediction = new LengthPrediction();
 	const first = runStep(samples, new RealOrder(prediction));
-	// The same prompts come back in a later step; their samples are drawn anew around the same means.
+	// A later step repeats the same prompts; its samples are drawn again around the mean lengths of the first step.
 	const again = drawAgain(samples, new Random(seed + 1000));
 	const later = runStep(again, new RealOrder(prediction));
 	const laterBound = findLowerBound(again);
@@ -255,5 +255,5 @@
 	return samples.map(sample => ({...sample, tokens: Math.min(maxTokens, Math.ceil(sums.get(sample.group)! * drawSample(random)))}));
 }
 
-/** Patterns made of one step, by name. */
+/** Patterns of one training step, by name. */
 export const stepPatterns: Readonly<Record<string, (seed: number) => Figure[]>> = {step: runStepPattern};
--- a/packages/load/src/model/weight-patterns.ts
+++ b/packages/load/src/model/weight-patterns.ts
@@ -1,6 +1,6 @@
 /**
- * Weights after each step of a trainer, on 6 engines of 32 slots: 1,024 samples a step of 1,000 tokens in the mean,
- * 90 s of training, new weights fetched in 3 s and swapped to in 1 s, of which one in fifty fails.
+ * Load pattern of a trainer that publishes new weights after each step, on 6 engines of 32 slots. A step has 1,024 samples with
+ * a mean of 1,000 tokens and 90 s of training. An engine fetches new weights in 3 s and swaps to them in 1 s; one swap in fifty fails.
  */
 import {
 	failReplica, isStale, decideDispatch, planWave, shouldCancel, type WeightReplica, type WaveLimits,
@@ -21,10 +21,10 @@
 const steps = 10;
 const tickMs = 200;
 
-/** Steps that the trainer has posted ahead; without a gate all of them are worked on. */
+/** Number of steps that the trainer posts ahead; without a staleness bound, samples of all of them are generated. */
 const postedAhead = 4;
 
-/** Steps left out of the figures, until the first weights have gone round. */
+/** Number of initial steps excluded from the figures, until the first weights have been rolled out. */
 const warmUpSteps = 2;
 
 const limits: WaveLimits = {storeStreams: 2, peerStreams: 1, interactiveEndpoints: 2};
@@ -35,7 +35,7 @@
 
 type WeightRun = {idle: number; lag: number; stale: number; thrown: number; rolloutMs: number};
 
-/** One trainer and its engines. */
+/** A simulated trainer and its engines. */
 class Trainer {
 	readonly #versions: number | undefined;
 	readonly #random: Random;
@@ -44,18 +44,18 @@
 	readonly #pending = new Map<number, number>();
 	readonly #whole = new Map<number, Sample[]>();
 	#version = 0;
-	#trainedAt: number | undefined;
+	#trainingEndsAt: number | undefined;
 	#publishedAt = 0;
 	#idleMs = 0;
 	#countedMs = 0;
 	#lagSum = 0;
-	#taken = 0;
+	#deliveredSamples = 0;
 	#stale = 0;
-	#thrown = 0;
-	#made = 0;
+	#discardedTokens = 0;
+	#madeTokens = 0;
 	#rolloutMs = 0;
 
-	/** @param versions - bound of staleness; undefined for the baseline, which has no gate and hands all over */
+	/** @param versions - staleness bound in versions; undefined for the baseline, which starts and delivers all samples regardless of staleness */
 	constructor(versions: number | undefined, seed: number) {
 		this.#versions = versions;
 		this.#random = new Random(seed);
@@ -73,30 +73,34 @@
 		}
 
 		return {
-			idle: this.#idleMs / this.#countedMs, lag: this.#lagSum / this.#taken, stale: this.#stale / this.#taken, thrown: this.#thrown / this.#made, rolloutMs: this.#rolloutMs,
+			idle: this.#idleMs / this.#countedMs,
+			lag: this.#lagSum / this.#deliveredSamples,
+			stale: this.#stale / this.#deliveredSamples,
+			thrown: this.#discardedTokens / this.#madeTokens,
+			rolloutMs: this.#rolloutMs,
 		};
 	}
 
-	/** Trains when a step is whole; the weights that come of it are the next version. */
+	/** Trains once a step is complete, and publishes the resulting weights as the next version. */
 	#train(now: number): void {
 		if (this.#version >= warmUpSteps) {
 			this.#countedMs += tickMs;
-			this.#idleMs += this.#trainedAt === undefined ? tickMs : 0;
+			this.#idleMs += this.#trainingEndsAt === undefined ? tickMs : 0;
 		}
 
-		if (this.#trainedAt === undefined) {
-			this.#take(now);
-		} else if (now >= this.#trainedAt) {
+		if (this.#trainingEndsAt === undefined) {
+			this.#deliver(now);
+		} else if (now >= this.#trainingEndsAt) {
 			this.#publish(now);
 		}
 	}
 
-	/** Hand-over: the last judgement, from what made the sample. */
-	#take(now: number): void {
+	/** Delivers a complete step to the trainer, after a final staleness check by the weights that generated each sample. */
+	#deliver(now: number): void {
 		const whole = this.#whole.get(this.#version) ?? [];
 		const fresh = whole.filter(sample => !this.#isStale(sample, now));
 		for (const {made} of whole.filter(sample => !fresh.includes(sample))) {
-			this.#thrown += made;
+			this.#discardedTokens += made;
 		}
 
 		this.#whole.set(this.#version, fresh);
@@ -104,11 +108,11 @@
 			for (const {oldestVersion} of fresh) {
 				this.#lagSum += this.#version - oldestVersion;
 				this.#stale += this.#version - oldestVersion > (this.#versions ?? 1) ? 1 : 0;
-				this.#taken += 1;
+				this.#deliveredSamples += 1;
 			}
 
 			this.#whole.delete(this.#version);
-			this.#trainedAt = now + trainMs;
+			this.#trainingEndsAt = now + trainMs;
 		}
 	}
 
@@ -117,7 +121,7 @@
 	}
 
 	#publish(now: number): void {
-		this.#trainedAt = undefined;
+		this.#trainingEndsAt = undefined;
 		this.#version += 1;
 		this.#publishedAt = now;
 		for (const engine of this.#engines) {
@@ -170,9 +174,9 @@
 		}
 	}
 
-	/** The step that is gathered: the one after that which is trained on. */
+	/** The step whose samples are being collected: while the trainer trains, the step after the one that it trains on. */
 	get #firstStep(): number {
-		return this.#version + (this.#trainedAt === undefined ? 0 : 1);
+		return this.#version + (this.#trainingEndsAt === undefined ? 0 : 1);
 	}
 
 	#startSamplesOf(step: number, engine: Engine, now: number): void {
@@ -200,7 +204,7 @@
 				&& shouldCancel({versions: this.#versions}, {oldestVersion}, {current: this.#version, stepsAhead: Math.max(0, step - this.#version)}, now);
 			if (isLost) {
 				this.#pending.set(step, this.#pending.get(step)! - 1);
-				this.#thrown += made;
+				this.#discardedTokens += made;
 			}
 
 			return !isLost;
@@ -211,7 +215,7 @@
 		for (const engine of this.#engines.filter(({replica}) => replica.state !== 'swapping')) {
 			for (const sample of engine.running) {
 				sample.made += speed * tickMs;
-				this.#made += speed * tickMs;
+				this.#madeTokens += speed * tickMs;
 			}
 
 			const whole = engine.running.filter(({made, tokens}) => made >= tokens);
@@ -224,10 +228,10 @@
 	}
 }
 
-/** Bounds of the curve, in versions. */
+/** Staleness bounds that are compared, in versions. */
 const bounds = [0, 1, 2, 3];
 
-/** How much worse a user holds idle time (of all time) and a version of staleness. */
+/** Relative costs that each user assigns to idle time (as a fraction of all time) and to one version of staleness. */
 const weighings = {moosbrugger: {idle: 4, lag: 1}, 'petroleum-office': {idle: 1, lag: 1}} as const;
 
 function runWeights(seed: number): Figure[] {
@@ -262,5 +266,5 @@
 	];
 }
 
-/** Patterns of weights, by name. */
+/** Patterns of weight updates, by name. */
 export const weightPatterns: Readonly<Record<string, (seed: number) => Figure[]>> = {weights: runWeights};
--- a/packages/load/src/run.ts
+++ b/packages/load/src/run.ts
@@ -16,7 +16,7 @@
 };
 
 /** Requests due within this time are sent at once, in milliseconds: timers are no more precise. */
-const grainMs = 1;
+const timerResolutionMs = 1;
 
 export async function runLoad(settings: LoadSettings): Promise<LoadResult> {
 	const arrivals = createArrivals(settings, new Random(settings.seed));
@@ -37,7 +37,7 @@
 	for (const arrival of arrivals) {
 		const dueAt = startedAt + arrival.atMs;
 		const remainingMs = dueAt - performance.now();
-		if (remainingMs > grainMs) {
+		if (remainingMs > timerResolutionMs) {
 			// Requests are sent in the order in which they are due.
 			// eslint-disable-next-line no-await-in-loop
 			await wait(remainingMs);
--- a/packages/load/src/sender.ts
+++ b/packages/load/src/sender.ts
@@ -40,7 +40,7 @@
 	async send(arrival: Arrival, dueAt: number): Promise<Outcome> {
 		this.#open += 1;
 		const findings = await this.#exchange(arrival, dueAt).catch((error: unknown): Findings => ({
-			kind: 'unknown', tokens: 0, reason: readCode(error), violations: [],
+			kind: 'unknown', tokens: 0, reason: readErrorCode(error), violations: [],
 		}));
 		this.#open -= 1;
 		return {id: arrival.id, latencyMs: performance.now() - dueAt, ...findings};
@@ -139,6 +139,6 @@
 	};
 }
 
-function readCode(error: unknown): string {
+function readErrorCode(error: unknown): string {
 	return error instanceof Error && 'code' in error ? String(error.code) : 'failed';
 }
