--- a/packages/proof/__tests__/poison.spec.ts
+++ b/packages/proof/__tests__/poison.spec.ts
@@ -4,14 +4,14 @@
 import {poisonText} from '../src/fake-engine.js';
 import {World} from '../src/world.js';
 
-/** Most endpoints that one request may take down. */
+/** Maximum number of endpoints that one request may crash. */
 const maxCrashes = 2;
 
 const copies = 6;
 
 const innocents = 6;
 
-/** Sends the same request again and again, each time through another entry. */
+/** Sends copies of a poison request at an interval, each through the next entry. */
 async function sendCopies(callers: Callers, clock: Clock, gapMs: number): Promise<Request[]> {
 	const sent: Request[] = [];
 	for (let copy = 0; copy < copies; copy += 1) {
@@ -23,7 +23,7 @@
 	return sent;
 }
 
-describe('a request that crashes each endpoint that runs it', () => {
+describe('a poison request, which crashes each endpoint that runs it', () => {
 	let clock: Clock;
 
 	beforeEach(() => {
@@ -50,7 +50,7 @@
 	};
 
 	for (const gapMs of [50, 1000, 5000]) {
-		it(`takes down two at most though it is sent again through all entries, ${gapMs} ms apart, and its neighbours are answered`, async () => {
+		it(`crashes at most two endpoints when copies arrive through all entries ${gapMs} ms apart, while other requests are answered`, async () => {
 			await checkCopies(gapMs);
 		});
 	}
--- a/packages/proof/src/agent-node.ts
+++ b/packages/proof/src/agent-node.ts
@@ -1,5 +1,5 @@
 /**
- * An agent of the proof: the real systems of an agent, with the wire in place of sockets.
+ * A simulated agent: the production systems of an agent, connected to the simulated network instead of sockets.
  */
 import {EndpointMonitor, PoisonRelay} from '@wasabiusher/agent';
 import type {EndpointStatus, Message, MessageOf} from '@wasabiusher/link';
@@ -11,7 +11,7 @@
 import type {Hooks} from './hooks.js';
 import type {Peer, Wire} from './wire.js';
 
-/** How often the endpoint is asked for its report, in milliseconds. */
+/** Interval at which the agent polls the endpoint's report, in milliseconds. */
 const reportMs = 200;
 
 export type AgentNodeSettings = {
@@ -27,12 +27,12 @@
 
 type Handlers = Partial<{[Kind in Message['kind']]: (from: string, message: MessageOf<Kind>) => void}>;
 
-/** One agent; `kill` makes it vanish as a process does. */
+/** One agent; `kill` ends it as abruptly as the death of a process. */
 export class AgentNode implements Peer {
 	readonly name: string;
 	readonly executor: Executor;
 	readonly adopter: ConfigurationAdopter;
-	/** Versions of the configuration as they came into force here. */
+	/** Configuration versions in the order in which this agent adopted them. */
 	readonly adopted: number[] = [];
 	readonly #settings: AgentNodeSettings;
 	readonly #watch: EndpointMonitor;
@@ -130,7 +130,7 @@
 		await this.executor.drain();
 	}
 
-	/** The process is gone; its endpoint lives on. */
+	/** Ends the agent's process; its endpoint keeps running. */
 	kill(): void {
 		this.#isAlive = false;
 		for (const timer of this.#timers) {
--- a/packages/proof/src/callers.ts
+++ b/packages/proof/src/callers.ts
@@ -1,38 +1,38 @@
 /**
- * Callers of the proof: each sends a request, sends it again if its entry is gone, and keeps what it was told.
+ * Simulated callers: each sends a request, retries it if its entry has died, and records the outcome of each attempt.
  */
 import type {Problem} from '@wasabiusher/shared';
 import type {Call, CallListener} from '@wasabiusher/systems';
 import {formatToken} from './fake-engine.js';
 import {modelName, profiles, type World} from './world.js';
 
-/** Tokens of an answer. */
+/** Number of tokens in an answer. */
 const answerTokens = 6;
 
-/** How long a caller waits for an entry that is gone before it sends its request again, in milliseconds. */
+/** Interval at which a caller checks that its entry is alive, and delay before it retries a request, in milliseconds. */
 const resendMs = 1000;
 
-/** What a caller was told of one of its tries. */
+/** The outcome of one attempt, as the caller received it. */
 export type Told
 	= | {kind: 'answered'; text: string}
 		| {kind: 'failed'; problem: Problem}
-	/** Its connection broke: the entry is gone. */
+	/** The connection broke because the entry died. */
 		| {kind: 'broken'};
 
-/** One request of a caller, however often it was sent. */
+/** One request of a caller with all its attempts. */
 export type Request = {
 	id: string;
 	kind: 'query' | 'posting';
-	/** Content of the prompt, or key of the posting. */
+	/** The prompt, or the key of the posting. */
 	content: string;
-	/** Sends again after a refusal as not run, as callers do. */
+	/** Whether the caller retries a request that was refused without being executed. */
 	isPersistent: boolean;
 	told: Told[];
-	/** Ends told of one try beyond the first. */
+	/** Number of outcomes that attempts received after their first one. */
 	extraEnds: number;
 };
 
-/** Sends requests into a world. */
+/** Sends requests to the entries of a world. */
 export class Callers {
 	readonly requests: Request[] = [];
 	readonly #world: World;
@@ -101,7 +101,7 @@
 		entry.submit(createCall(request, turn), listener, request.kind === 'posting' ? request.content : undefined);
 	}
 
-	/** A broken connection and a refusal as not run are tried again, under the same key. */
+	/** Retries after a broken connection or a refusal without execution, under the same key. */
 	#considerResend(request: Request, told: Told, turn: number): void {
 		const isRefused = told.kind === 'failed' && told.problem.ran === 'no';
 		if (told.kind === 'broken' || (isRefused && request.isPersistent && turn < 5)) {
@@ -136,7 +136,7 @@
 	};
 }
 
-/** The whole answer to a query. */
+/** Returns the complete answer that a request should get: all tokens of a query, or the key of a posting. */
 export function createExpectedText({kind, content}: Request): string {
 	if (kind === 'posting') {
 		return content;
--- a/packages/proof/src/configuration-messages.ts
+++ b/packages/proof/src/configuration-messages.ts
@@ -1,10 +1,10 @@
 /**
- * Which messages are the configuration adopter's, and how often it is called.
+ * Selects the messages for the configuration adopter, and defines its tick interval.
  */
 import type {Message} from '@wasabiusher/link';
 import type {ConfigurationMessage} from '@wasabiusher/systems';
 
-/** Time between two calls of the adopter's `tick`, in milliseconds. */
+/** Interval between calls of the adopter's `tick`, in milliseconds. */
 export const adopterMs = 1000;
 
 const kinds: ReadonlySet<Message['kind']> = new Set(['configuration', 'configuration-delta', 'digest']);
--- a/packages/proof/src/entry-node.ts
+++ b/packages/proof/src/entry-node.ts
@@ -1,5 +1,5 @@
 /**
- * An entry of the proof: the real systems of an entry, with the wire in place of sockets.
+ * A simulated entry: the production systems of an entry, connected to the simulated network instead of sockets.
  */
 import type {Message} from '@wasabiusher/link';
 import type {ConditionalWrite, ObjectStore, TableService} from '@wasabiusher/backends';
@@ -23,17 +23,17 @@
 	log: Log;
 };
 
-/** The run of a call that came to an entry that is gone. */
+/** The run of a call that was submitted to a dead entry; it does nothing. */
 const lostRun: Run = {cancel: () => undefined, pause: () => undefined, resume: () => undefined};
 
-/** One entry; `kill` makes it vanish as a process does. */
+/** One entry; `kill` ends it as abruptly as the death of a process. */
 export class EntryNode implements Peer {
 	readonly name: string;
 	readonly dispatcher: Dispatcher;
 	readonly steps: StepRunner;
 	readonly history: ConfigurationHistory;
 	readonly adopter: ConfigurationAdopter;
-	/** Versions of the configuration as they came into force here. */
+	/** Configuration versions in the order in which this entry adopted them. */
 	readonly adopted: number[] = [];
 	readonly #settings: EntryNodeSettings;
 	readonly #claimed: ClaimedCalls;
@@ -116,7 +116,7 @@
 		this.adopter.onLinkDown(peer);
 	}
 
-	/** Sends what the adopter asks for. */
+	/** Sends the messages that the configuration adopter returned. */
 	send(outputs: readonly ConfigurationOutput[]): void {
 		for (const {to, message} of this.#life.isAlive ? outputs : []) {
 			this.#settings.wire.sendToAgent(this.name, to, message);
@@ -143,7 +143,7 @@
 		}
 	}
 
-	/** Takes a call, with a key if it has one; nothing is heard of it once the entry is gone. */
+	/** Submits a call, under its idempotency key if it has one. The listener gets no events after the entry's death. */
 	submit(call: Call, listener: CallListener, key?: string): Run {
 		this.#settings.hooks.pass({step: 'admit', entry: this.name});
 		if (!this.#life.isAlive) {
@@ -181,7 +181,7 @@
 		this.send(await this.adopter.tick());
 	}
 
-	/** Writes to the store are steps of their paths. */
+	/** Passes the steps that store writes stand for. */
 	#passWrites(writes: readonly ConditionalWrite[]): void {
 		const tables = new Set(writes.map(({table}) => table));
 		const isFirst = writes.every(({expect}) => expect === 0);
--- a/packages/proof/src/fake-engine.ts
+++ b/packages/proof/src/fake-engine.ts
@@ -1,5 +1,5 @@
 /**
- * A model engine at the interface, without a network: tokens at a steady pace under the paused clock.
+ * A fake model engine that implements the engine interface without a network, and makes tokens at a constant pace under a fake clock.
  */
 import {
 	PlatformError, type CacheEvent, type Engine, type EngineOrder, type EngineReport, type GenerationEvent, type GenerationOptions,
@@ -7,26 +7,26 @@
 import type {GenerationRequest} from '@wasabiusher/shared';
 import type {Hooks} from './hooks.js';
 
-/** Time a token takes, in milliseconds. */
+/** Time per token, in milliseconds. */
 const tokenMs = 20;
 
-/** How long an engine that crashed is away, in milliseconds. */
+/** Time until a crashed engine is available again, in milliseconds. */
 const restartMs = 3000;
 
-/** A prompt with this text crashes each engine that runs it. */
+/** A prompt that contains this text crashes each engine that runs it. */
 export const poisonText = 'poison';
 
-/** The text of a token: its place, the version that truly made it, and what was asked. */
+/** Formats a token: its position, the weight version that generated it, and the prompt. */
 export function formatToken(place: number, version: number, prompt: string): string {
 	return `${place}@${version}:${prompt} `;
 }
 
 type Running = {crash(): void};
 
-/** One engine. */
+/** One fake engine, with switches for its faults. */
 export class FakeEngine implements Engine {
 	readonly name: string;
-	/** Runs that were started, by content of the prompt. */
+	/** Number of runs that were started, by prompt. */
 	readonly runs = new Map<string, number>();
 	crashes = 0;
 	isStalled = false;
@@ -49,12 +49,12 @@
 		return performance.now() < this.#downUntil;
 	}
 
-	/** Version of a model that is in force; undefined when it is not held. */
+	/** Returns the loaded version of a model; undefined if the model is not loaded. */
 	versionOf(model: string): number | undefined {
 		return this.#models.get(model);
 	}
 
-	/** Cuts all runs off; the engine comes back after a while with the same models. */
+	/** Aborts all runs; the engine is available again after `restartMs`, with the same models. */
 	crash(): void {
 		this.crashes += 1;
 		this.#start += 1;
@@ -89,7 +89,7 @@
 		}
 
 		for (let made = 1; made <= request.maxTokens; made += 1) {
-			// Tokens follow one another.
+			// Tokens are generated in sequence.
 			// eslint-disable-next-line no-await-in-loop
 			await Promise.race([crashed, this.#makeToken(signal)]);
 			if (hasCrashed) {
@@ -146,7 +146,7 @@
 		}
 	}
 
-	/** Brings a version into force at once, as an order that was carried out does. */
+	/** Sets the loaded version of a model at once, as a completed load order does. */
 	setVersion(model: string, version: number): void {
 		this.#models.set(model, version);
 	}
@@ -175,7 +175,7 @@
 				throw new PlatformError('unknown', 'aborted');
 			}
 
-			// A stalled engine makes nothing until it is stalled no more.
+			// A stalled engine generates no tokens until the stall ends.
 			// eslint-disable-next-line no-await-in-loop
 			await new Promise<void>(resolve => {
 				setTimeout(resolve, tokenMs);
--- a/packages/proof/src/fake-ledger.ts
+++ b/packages/proof/src/fake-ledger.ts
@@ -1,18 +1,18 @@
 /**
- * A plain service at the interface: counts each posting, so that doubles and losses show.
+ * A fake plain service that counts the executions of each posting, so that duplicates and losses are detected.
  */
 import {
 	PlatformError, type PlainEvent, type PlainRequest, type PlainService,
 } from '@wasabiusher/backends';
 import type {Hooks} from './hooks.js';
 
-/** Time a posting takes, in milliseconds. */
+/** Time per posting, in milliseconds. */
 const postingMs = 30;
 
-/** How long a service that crashed is away, in milliseconds. */
+/** Time until a crashed service is available again, in milliseconds. */
 const restartMs = 3000;
 
-/** The record that all endpoints of the ledger share. */
+/** Number of executions by posting key, shared by all endpoints of the ledger. */
 export type Postings = Map<string, number>;
 
 /** One endpoint of the ledger. */
--- a/packages/proof/src/faults.ts
+++ b/packages/proof/src/faults.ts
@@ -1,32 +1,32 @@
 /**
- * The faults that can come at any step, and where they can't.
+ * The faults that can be injected at each step, and the paths that they apply to.
  */
 import type {Passage, Path} from './hooks.js';
 import {storeDelayMs, type World} from './world.js';
 
-/** How long faults with an end last, in milliseconds. */
+/** Duration of temporary faults, in milliseconds. */
 const outageMs = 8000;
 
-/** Time until a process that died is replaced, in milliseconds. */
+/** Time until a dead process is replaced, in milliseconds. */
 const replaceMs = 2000;
 
-/** Messages of each link that are lost or repeated. */
+/** Number of messages on each link that are lost or repeated. */
 const disturbed = 3;
 
 export type Fault = {
 	title: string;
-	/** Paths on which it can matter. */
+	/** Paths that the fault can affect. */
 	paths: readonly Path[];
-	/** @param passage - the step at which it is injected, with the processes concerned */
+	/** @param passage - the step at which the fault is injected, with the processes involved */
 	inject(world: World, passage: Passage): void;
 };
 
-/** The endpoint concerned; any of its pool before one was chosen. */
+/** Returns the name of the endpoint involved, or of the first of its pool if none has been chosen yet. */
 function findEndpointName(world: World, {agent}: Passage, path: Path): string {
 	return agent ?? (path === 'posting' ? world.ledgers : world.engines)[0]!.name;
 }
 
-/** The entry concerned; the first living one where the step is at an endpoint. */
+/** Returns the name of the entry involved, or of the first running one if the step is at an endpoint. */
 function findEntryName(world: World, {entry}: Passage): string {
 	return entry ?? world.pickEntry(0)?.name ?? '';
 }
@@ -38,7 +38,7 @@
 	}, outageMs);
 }
 
-/** Creates the faults of a path. */
+/** Creates the faults that apply to a path, by name. */
 export function createFaults(path: Path): Record<string, Fault> {
 	const all: Record<string, Fault> = {
 		'endpoint-crash': {
--- a/packages/proof/src/hooks.ts
+++ b/packages/proof/src/hooks.ts
@@ -1,5 +1,5 @@
 /**
- * The steps of each path, at which faults are injected.
+ * The steps of each path, and hooks that inject faults at them.
  */
 
 /** Steps by path, in order. */
@@ -14,20 +14,20 @@
 
 export type Step = typeof paths[Path][number];
 
-/** What passed a step. */
+/** One passage of a step, with the processes involved. */
 export type Passage = {
 	step: Step;
-	/** Name of the entry, if one is known to be concerned. */
+	/** Name of the entry involved, if known. */
 	entry?: string;
-	/** Name of the agent, if one is known to be concerned. */
+	/** Name of the agent involved, if known. */
 	agent?: string;
 };
 
-/** Lets faults be injected when a step is passed. */
+/** Runs registered functions when a step is passed. */
 export class Hooks {
 	#waiting: Array<{step: Step; count: number; run(passage: Passage): void}> = [];
 
-	/** Runs once, when the step is passed for the n-th time. */
+	/** Registers a function to run once, at the n-th passage of the step from now on. */
 	once(step: Step, run: (passage: Passage) => void, count = 1): void {
 		this.#waiting.push({step, count, run});
 	}
--- a/packages/proof/src/index.ts
+++ b/packages/proof/src/index.ts
@@ -1,4 +1,4 @@
-/** Proof under failure: faults at every step, random runs, and deliberate mistakes that the runs must catch. */
+/** Fault-injection tests: a fault at every step, random runs, and mutants that the runs must catch. */
 export * from './faults.js';
 export * from './hooks.js';
 export * from './run-cell.js';
--- a/packages/proof/src/judge.ts
+++ b/packages/proof/src/judge.ts
@@ -1,10 +1,10 @@
 /**
- * Judges a run by what callers were told and what truly happened at the endpoints.
+ * Checks a run: compares the outcomes that callers received with what the endpoints actually executed.
  */
 import {createExpectedText, type Request} from './callers.js';
 import type {World} from './world.js';
 
-/** How often a request truly ran, whole or in part. */
+/** Counts the executions of a request at the endpoints. An interrupted execution of a query counts too. */
 function countRuns({engines, postings}: World, {kind, content}: Request): number {
 	if (kind === 'posting') {
 		return postings.get(content) ?? 0;
@@ -13,7 +13,7 @@
 	return engines.reduce((sum, {runs}) => sum + (runs.get(content) ?? 0), 0);
 }
 
-/** Each thing that must hold of a request, and whether it does. */
+/** Rules that hold for every request: the name that is printed, and the predicate. */
 const checks: ReadonlyArray<[string, (world: World, request: Request) => boolean]> = [
 	['each try ends once', (_world, {extraEnds}) => extraEnds === 0],
 	['every request ends', (_world, {told}) => told.length > 0 && told.at(-1)!.kind !== 'broken'],
@@ -23,7 +23,7 @@
 	['"not run" is true', (world, request) => !request.told.every(told => told.kind === 'failed' && told.problem.ran === 'no') || countRuns(world, request) === 0],
 ];
 
-/** What is broken, a line each; empty when all holds. */
+/** Returns one line for each broken rule; empty if all rules hold. */
 export function findBroken(world: World, requests: readonly Request[]): string[] {
 	const lines: string[] = [];
 	for (const request of requests) {
@@ -37,7 +37,7 @@
 	return lines;
 }
 
-/** What came of a request, in a word. */
+/** Describes the last outcome of a request for the fault matrix; `open` if the request has not ended. */
 export function summarizeEnd({told}: Request): string {
 	const last = told.at(-1);
 	if (!last || last.kind === 'broken') {
--- a/packages/proof/src/main.ts
+++ b/packages/proof/src/main.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run faults` prints the fault matrix as docs/FAULTS.md has it; `npm run soak` runs random sequences of faults.
+ * Command line of the fault-injection tests: `npm run faults` prints the fault matrix of docs/FAULTS.md, `npm run soak` runs random combinations of faults.
  */
 import process from 'node:process';
 import {z} from 'zod';
--- a/packages/proof/src/matrix.ts
+++ b/packages/proof/src/matrix.ts
@@ -1,12 +1,12 @@
 /**
- * The fault matrix as a page: a row a fault, a column a step, in each cell what callers were told.
+ * Prints the fault matrix as Markdown: one row per fault, one column per step, and the outcomes in each cell.
  */
 import process from 'node:process';
 import {createFaults} from './faults.js';
 import {paths, type Path} from './hooks.js';
 import {listCells, runCell, type CellResult} from './run-cell.js';
 
-/** How a cell is written: the ends by count, or what is broken. */
+/** Formats a cell: the outcomes with their counts, or the broken rules. */
 function formatCell({broken, ends, injected}: CellResult): string {
 	if (broken.length > 0) {
 		return `**broken**: ${broken.join('; ')}`;
@@ -26,7 +26,7 @@
 	for (const [name, {title}] of Object.entries(createFaults(path))) {
 		const cells: string[] = [];
 		for (const cell of listCells(path).filter(({injections}) => injections[0]!.fault === name)) {
-			// Each run has the clock to itself.
+			// Runs replace the global clock, so they can't overlap.
 			// eslint-disable-next-line no-await-in-loop
 			const result = await runCell(cell);
 			isClean &&= result.broken.length === 0;
@@ -39,12 +39,12 @@
 	return {lines, isClean};
 }
 
-/** Runs every cell and prints the page; resolves to whether nothing was broken. */
+/** Runs every cell and prints the matrix; resolves to whether no rule was broken. */
 export async function printMatrix(): Promise<boolean> {
 	process.stdout.write('# Faults\n\nMade by `npm run faults`: each fault at each step of each path, and what four callers were told in the end.\n');
 	let isClean = true;
 	for (const path of Object.keys(paths) as Path[]) { // eslint-disable-line @typescript-eslint/no-unsafe-type-assertion
-		// One path after the other.
+		// Runs replace the global clock, so paths can't overlap.
 		// eslint-disable-next-line no-await-in-loop
 		const result = await formatPath(path);
 		isClean &&= result.isClean;
--- a/packages/proof/src/mutants.ts
+++ b/packages/proof/src/mutants.ts
@@ -1,23 +1,23 @@
 /**
- * Deliberate mistakes, as changes of the source's text; the runs of the proof must catch each.
+ * Mutants: deliberate mistakes as text replacements in the source. The fault-injection runs must catch each.
  *
- * They are applied while the proof is bundled, never to the files (`scripts/proof-mutants.ts`).
+ * `scripts/proof-mutants.ts` applies them while it bundles this package; the files do not change.
  */
 import type {Path} from './hooks.js';
 
 export type Edit = {
-	/** From the root of the repository. */
+	/** Path relative to the root of the repository. */
 	file: string;
-	/** Stands in the file exactly once. */
+	/** The text to replace; it occurs exactly once in the file. */
 	from: string;
 	to: string;
 };
 
 export type Mutant = {
 	title: string;
-	/** Several where the same thing is checked in more than one place. */
+	/** Several edits if the same condition is checked in more than one place. */
 	edits: readonly Edit[];
-	/** Paths whose runs are to catch it. */
+	/** Paths whose runs must catch the mutant. */
 	paths: readonly Path[];
 };
 
--- a/packages/proof/src/node-storage.ts
+++ b/packages/proof/src/node-storage.ts
@@ -1,14 +1,14 @@
 /**
- * The platform's storage as one process sees it: its answers stop when the process is gone.
+ * Storage clients of one simulated process; their operations never settle once the process is dead.
  */
 import type {
 	ConditionalWrite, ObjectStore, ScanOptions, StoredRow, TableService,
 } from '@wasabiusher/backends';
 
-/** What a process that is gone waits for; it never settles. */
+/** A promise that never settles, for operations of a dead process. */
 const never = Promise.race<never>([]);
 
-/** Whether the process lives, and whom to tell of writes. */
+/** Whether the process is alive, and a callback that runs before each write. */
 export type Life = {isAlive: boolean; onWrite?(writes: readonly ConditionalWrite[]): void};
 
 async function whileAlive<Result>(life: Life, call: () => Promise<Result>): Promise<Result> {
--- a/packages/proof/src/operators.ts
+++ b/packages/proof/src/operators.ts
@@ -1,20 +1,20 @@
 /**
- * Operators of the proof: race one another with changes of the configuration.
+ * Simulated operators that make concurrent changes to the configuration.
  */
 import {RecordError} from '@wasabiusher/record';
 import type {Configuration} from '@wasabiusher/shared';
 import type {EntryNode} from './entry-node.js';
 import {profiles, type World} from './world.js';
 
-/** When changes are made, in milliseconds after the start; two come at once. */
+/** Times of the changes, in milliseconds after the start; two are simultaneous. */
 const changesMs = [0, 0, 500, 1500];
 
-/** What an operator was told. */
+/** The outcome of a change, as the operator received it. */
 type Told = 'accepted' | 'conflict' | 'unavailable' | 'unknown' | 'cut-off';
 
 type Attempt = {author: string; entry: EntryNode; told?: Told; version?: number};
 
-/** Makes changes through any entry. */
+/** Changes the configuration through different entries, and checks the versions that the processes adopt. */
 export class Operators {
 	readonly #world: World;
 	readonly #attempts: Attempt[] = [];
@@ -23,7 +23,7 @@
 		this.#world = world;
 	}
 
-	/** Starts all changes. */
+	/** Schedules all changes. */
 	race(): void {
 		for (const [index, afterMs] of changesMs.entries()) {
 			setTimeout(() => {
@@ -87,7 +87,7 @@
 		clearInterval(watch);
 	}
 
-	/** A change that was refused is not in force anywhere. */
+	/** Lists processes that have adopted a change although its operator was told that it was refused. */
 	#listUntrueRefusals(nodes: ReadonlyArray<Pick<EntryNode, 'name' | 'adopter'>>): string[] {
 		const refused = new Set(this.#attempts.filter(({told}) => told === 'conflict' || told === 'unavailable').map(({author}) => author));
 		return nodes
--- a/packages/proof/src/run-cell.ts
+++ b/packages/proof/src/run-cell.ts
@@ -1,5 +1,5 @@
 /**
- * One run: a world, some load, faults at steps, and the judgement.
+ * Runs one cell of the fault matrix: creates a world, starts the load, injects faults at steps, and checks the outcome.
  */
 import {install} from '@sinonjs/fake-timers';
 import {createFaults} from './faults.js';
@@ -7,29 +7,29 @@
 import {scenarios, warmUp} from './scenario.js';
 import {World} from './world.js';
 
-/** Time for links and first reports before the load, in milliseconds; agents vouch for what they know after 5 s. */
+/** Time for links and first reports before the load, in milliseconds. Agents vouch for their knowledge only after 5 s. */
 const settleMs = 8000;
 
-/** Time for the queries before the run proper, in milliseconds. */
+/** Time for the warm-up queries, in milliseconds. */
 const warmUpMs = 3000;
 
-/** Time after which every request must have ended, in milliseconds: the deadline, and those of some tries again. */
+/** Time within which every request must end, in milliseconds: its deadline and the deadlines of several retries. */
 const endMs = 200_000;
 
-/** A fault at a step of a path; `count` picks the n-th passage. */
+/** A fault to inject at a step of a path; `count` selects the n-th passage, 1 by default. */
 export type Injection = {fault: string; step: Step; count?: number};
 
 export type Cell = {path: Path; injections: Injection[]; seed: number};
 
 export type CellResult = {
 	broken: string[];
-	/** What callers, trainer or operators were told, by count. */
+	/** Outcomes that callers, the trainer or operators received, with their counts. */
 	ends: Record<string, number>;
-	/** Faults that were really injected. */
+	/** Number of faults that were injected; a fault is not if its step was not reached. */
 	injected: number;
 };
 
-/** Runs a cell under a paused clock of its own. */
+/** Runs a cell under its own fake clock. */
 export async function runCell({path, injections, seed}: Cell): Promise<CellResult> {
 	const clock = install({shouldClearNativeTimers: true});
 	try {
@@ -55,7 +55,7 @@
 	}
 }
 
-/** All single cells of a path. */
+/** Lists the cells of a path: each of its faults at each of its steps. */
 export function listCells(path: Path, seed = 1): Cell[] {
 	return Object.keys(createFaults(path)).flatMap(fault => paths[path].map(step => ({path, injections: [{fault, step}], seed})));
 }
--- a/packages/proof/src/scenario.ts
+++ b/packages/proof/src/scenario.ts
@@ -1,5 +1,5 @@
 /**
- * What runs in a world on each path, and how it is judged.
+ * The load that runs in a world for each path, and the checks of its outcome.
  */
 import {Callers} from './callers.js';
 import type {Path} from './hooks.js';
@@ -9,13 +9,13 @@
 import type {World} from './world.js';
 
 export type Scenario = {
-	/** What is broken, a line each. */
+	/** Returns one line for each broken rule. */
 	findBroken(): string[];
-	/** What came of it, by count. */
+	/** Counts the outcomes by kind. */
 	summarize(): Record<string, number>;
 };
 
-/** Requests beside the one that the fault is aimed at. */
+/** Number of requests that run beside the first one. */
 const companions = 3;
 
 function startCallers(world: World, kind: 'query' | 'posting'): Scenario {
@@ -30,10 +30,10 @@
 	};
 }
 
-/** Queries before the run proper: hedging wants to know how long they take. */
+/** Number of warm-up queries; hedging needs their durations. */
 const warmUpQueries = 80;
 
-/** Brings a world to where it has served for a while. */
+/** Sends the warm-up queries; other paths than `call` need none. */
 export function warmUp(world: World, path: Path): void {
 	const callers = new Callers(world);
 	for (let index = 0; index < (path === 'call' ? warmUpQueries : 0); index += 1) {
@@ -41,7 +41,7 @@
 	}
 }
 
-/** Starts the load of each path. */
+/** Start functions of the load, by path. */
 export const scenarios: Readonly<Record<Path, (world: World) => Scenario>> = {
 	call: world => startCallers(world, 'query'),
 	posting: world => startCallers(world, 'posting'),
@@ -57,7 +57,7 @@
 	},
 };
 
-/** Counts equal words. */
+/** Counts how often each word occurs. */
 export function countAll(words: readonly string[]): Record<string, number> {
 	const counts: Record<string, number> = {};
 	for (const word of words) {
--- a/packages/proof/src/soak.ts
+++ b/packages/proof/src/soak.ts
@@ -1,5 +1,5 @@
 /**
- * Random runs: several faults at random steps in each, from a seed that repeats the run.
+ * Random runs with several faults at random steps; the seed makes each run repeatable.
  */
 import process from 'node:process';
 import {Random} from '@wasabiusher/shared';
@@ -7,15 +7,15 @@
 import {paths, type Path} from './hooks.js';
 import {runCell, type Cell, type Injection} from './run-cell.js';
 
-/** Most faults of one run: pairs and triples find what single faults do not. */
+/** Maximum number of faults in one run. Combinations find errors that single faults do not. */
 const maxInjections = 4;
 
-/** The n-th passage of a step at which a fault may come; with four requests and their retries all are reached. */
+/** Highest passage of a step at which a fault is injected; four requests and their retries reach all of them. */
 const maxCount = 6;
 
 const allPaths: readonly Path[] = ['call', 'posting', 'sample', 'configuration'];
 
-/** Draws the run of a seed. */
+/** Creates the run that belongs to a seed. */
 export function createRandomCell(seed: number, among: readonly Path[] = allPaths): Cell {
 	const random = new Random(seed);
 	const path = random.pick(among);
@@ -26,12 +26,12 @@
 	return {path, injections, seed};
 }
 
-/** Runs seeds from the first on; prints each that breaks something, with the command that repeats it. */
+/** Runs consecutive seeds, prints each run that breaks a rule with the command to repeat it, and resolves to whether none did. */
 export async function soak(firstSeed: number, runs: number): Promise<boolean> {
 	let failed = 0;
 	for (let seed = firstSeed; seed < firstSeed + runs; seed += 1) {
 		const cell = createRandomCell(seed);
-		// Each run has the clock to itself.
+		// Runs replace the global clock, so they can't overlap.
 		// eslint-disable-next-line no-await-in-loop
 		const {broken} = await runCell(cell);
 		if (broken.length > 0) {
--- a/packages/proof/src/step-trainer.ts
+++ b/packages/proof/src/step-trainer.ts
@@ -1,5 +1,5 @@
 /**
- * A trainer of the proof: draws one step while weights change, reconnects to any entry, and keeps what it received.
+ * A simulated trainer: pulls one step while weights change, reconnects to another entry after a failure, and records the samples that it receives.
  */
 import {findOldestVersion, type Sample} from '@wasabiusher/shared';
 import type {Step, StepRequest} from '@wasabiusher/systems';
@@ -9,18 +9,18 @@
 const groupCount = 3;
 const groupSize = 2;
 
-/** Tokens of a sample. */
+/** Number of tokens in a sample. */
 const sampleTokens = 8;
 
-/** When weights change, in milliseconds after the step was opened: while samples are made, and between hand-overs. */
+/** Times of the weight changes, in milliseconds after the start: during generation and between handovers. */
 const changesMs = [100, 260, 900];
 
-/** Wait before a pull that has ended is begun anew, in milliseconds. */
+/** Delay before the next pull, in milliseconds. */
 const againMs = 300;
 
 type Received = {sample: Sample; statedVersion: number};
 
-/** Draws one step. */
+/** Pulls one step, and checks the samples. */
 export class StepTrainer {
 	readonly received: Received[] = [];
 	readonly failed: string[] = [];
@@ -46,12 +46,12 @@
 		};
 	}
 
-	/** Draws until the step is whole. */
+	/** Pulls until the step is complete. */
 	async draw(): Promise<void> {
 		this.#changeWeights();
 		while (!this.#isWhole) {
 			const entry = this.#world.pickEntry(this.#turn);
-			// Each pull goes on where the one before ended.
+			// Each pull resumes where the previous one ended.
 			// eslint-disable-next-line no-await-in-loop
 			await Promise.race([entry ? this.#pullFrom(entry) : pause(againMs), entry ? waitUntilDead(entry) : pause(againMs)]);
 			if (entry && !entry.isAlive) {
@@ -82,7 +82,7 @@
 		return {delivered: this.received.length, ...(this.failed.length > 0 ? {failed: this.failed.length} : {})};
 	}
 
-	/** Engines swap one after another, and the trainer states the new version from its next pull on. */
+	/** Schedules the weight changes: engines swap one after another, and the trainer states the new version from its next pull on. */
 	#changeWeights(): void {
 		for (const [index, afterMs] of changesMs.entries()) {
 			const version = index + 2;
@@ -107,7 +107,7 @@
 		}
 	}
 
-	/** As an entry's routes do: passes the exchange on to the owner, or goes on itself if the owner is gone. */
+	/** Finds the step as an entry's routes do: at its owner, or at the given entry if the owner has died. */
 	async #findStep(entry: EntryNode): Promise<{runner: EntryNode; step: Step} | undefined> {
 		const first = await entry.steps.open(this.#request);
 		if (first.kind !== 'elsewhere') {
@@ -140,7 +140,7 @@
 
 			if (delivery.kind === 'sample') {
 				this.#world.hooks.pass({step: 'hand-over', entry: runner.name});
-				// The entry may have died just before its last write reached the trainer.
+				// The fault at this step may have killed the entry before the sample reached the trainer.
 				if (!entry.isAlive || !runner.isAlive) {
 					break;
 				}
@@ -167,7 +167,7 @@
 	}
 }
 
-/** Each token of a sample tells in its text which version truly made it. */
+/** Checks a received sample. The text of each token names the weight version that generated it. */
 function judge({sample, statedVersion}: Received, {maxTokens, groups}: StepRequest): string[] {
 	const made = sample.text.trim().split(' ').map(token => Number(/@(?<version>\d+):/v.exec(token)?.groups?.version));
 	const labelled = sample.versions.flatMap(({version, from, to}) => Array.from({length: to - from}, () => version));
--- a/packages/proof/src/wire.ts
+++ b/packages/proof/src/wire.ts
@@ -1,18 +1,18 @@
 /**
- * The network between entries and agents: messages in order, with a delay, over links that can be cut or go silent.
+ * A simulated network between entries and agents: links deliver messages in order after a delay, and can be cut or go silent.
  */
 import {decodeMessage, encodeMessage, type Message} from '@wasabiusher/link';
 
 /** One-way delay, in milliseconds. */
 const delayMs = 2;
 
-/** Time until a link that was lost is up again, if it can be, in milliseconds. */
+/** Time until a lost link is re-established, unless it is partitioned, in milliseconds. */
 const redialMs = 200;
 
-/** Time until both ends take a silent link for lost, in milliseconds: three heartbeats of a second, and the one under way. */
+/** Time until both ends treat a silent link as lost, in milliseconds: three heartbeats of one second each, and the one in progress. */
 const silenceMs = 4000;
 
-/** An end of links. */
+/** A process at one end of a link. */
 export type Peer = {
 	readonly name: string;
 	attach(peer: string): void;
@@ -24,19 +24,19 @@
 	entry: Peer;
 	agent: Peer;
 	isUp: boolean;
-	/** Messages vanish, and neither end knows. */
+	/** Whether messages are dropped without either end noticing. */
 	isSilent: boolean;
-	/** The link can not be replaced while this holds. */
+	/** Whether the link is partitioned; it can't be re-established meanwhile. */
 	isParted: boolean;
-	/** Messages to vanish, one by one, though the link works. */
+	/** Number of messages still to be dropped while the link stays up. */
 	toLose: number;
-	/** Messages to come twice. */
+	/** Number of messages still to be delivered twice. */
 	toRepeat: number;
-	/** Counts up with each replacement; what was sent on an earlier one never arrives. */
+	/** Number of times the link was established. Messages from an earlier generation are never delivered. */
 	generation: number;
 };
 
-/** All links. */
+/** All links between entries and agents. */
 export class Wire {
 	readonly #links = new Map<string, LinkState>();
 
@@ -48,7 +48,7 @@
 		this.#raise(link);
 	}
 
-	/** Sends from an entry to an agent; false if there is no link. */
+	/** Sends a message from an entry to an agent; returns false if the link is not up. */
 	sendToAgent(entry: string, agent: string, message: Message): boolean {
 		const link = this.#links.get(formatLink(entry, agent));
 		return this.#send(link, message, () => link!.agent, entry);
@@ -59,7 +59,7 @@
 		return this.#send(link, message, () => link!.entry, agent);
 	}
 
-	/** Both ends see the link go; it is replaced soon. */
+	/** Closes all links of a process; both ends notice at once, and the links are re-established after `redialMs`. */
 	cut(name: string): void {
 		for (const link of this.#listOf(name)) {
 			this.#lower(link);
@@ -67,7 +67,7 @@
 		}
 	}
 
-	/** What is sent vanishes; heartbeats find out, and a new link works. */
+	/** Drops all messages on the links of a process until missed heartbeats reveal it; new links then work. */
 	silence(name: string): void {
 		for (const link of this.#listOf(name)) {
 			link.isSilent = true;
@@ -79,7 +79,7 @@
 		}
 	}
 
-	/** No link works for a while; both ends find out by silence. */
+	/** Partitions a process from all its peers for a while; both ends notice by missed heartbeats. */
 	part(name: string, forMs: number): void {
 		for (const link of this.#listOf(name)) {
 			link.isParted = true;
@@ -95,7 +95,7 @@
 		}
 	}
 
-	/** The next messages on each link vanish, or come twice: what the sequence numbers are for. */
+	/** Drops or repeats the next messages on each link of a process, which sequence numbers must detect. */
 	disturb(name: string, {lost = 0, repeated = 0}: {lost?: number; repeated?: number}): void {
 		for (const link of this.#listOf(name)) {
 			link.toLose += lost;
@@ -103,7 +103,7 @@
 		}
 	}
 
-	/** A process is gone: its links close, and its peers see it at once, as a closed socket tells. */
+	/** Removes a dead process: its links close, and its peers notice at once, as with a closed socket. */
 	remove(name: string): void {
 		for (const [key, link] of this.#links) {
 			if (link.entry.name === name || link.agent.name === name) {
@@ -127,7 +127,7 @@
 			return true;
 		}
 
-		// Through the codec, so that what arrives is what a real link would deliver.
+		// The codec makes sure that the receiver gets what a real link would deliver.
 		const bytes = encodeMessage(message);
 		const {generation} = link;
 		const times = link.toRepeat > 0 ? 2 : 1;
--- a/packages/proof/src/world.ts
+++ b/packages/proof/src/world.ts
@@ -1,5 +1,5 @@
 /**
- * A few entries and agents over one wire and one store, under the paused clock.
+ * A simulated cluster: entries, agents and endpoints that share one network and one store, under a fake clock.
  */
 import {Log, Random, type Profile} from '@wasabiusher/shared';
 import {MemoryObjectStore, MemoryTableService} from '@wasabiusher/standins';
@@ -10,18 +10,18 @@
 import {Hooks} from './hooks.js';
 import {Wire} from './wire.js';
 
-/** Requests that each endpoint runs at once. */
+/** Maximum number of concurrent requests per endpoint. */
 const limit = 4;
 
-/** Time that each call of the store takes, in milliseconds; without it writes that race would never overlap. */
+/** Latency of each store operation, in milliseconds. Without it, concurrent writes would never overlap. */
 export const storeDelayMs = 5;
 
 export type WorldSize = {entries: number; engines: number; ledgers: number};
 
-/** As small as shows every case: one of each can fail, and another is there. */
+/** The smallest size that covers every case: one process of each kind can fail while another remains. */
 export const smallWorld: WorldSize = {entries: 2, engines: 3, ledgers: 2};
 
-/** Profiles of the proof. */
+/** Request profiles that the runs use. */
 export const profiles: Readonly<Record<'query' | 'posting' | 'rollout', Profile>> = {
 	query: {
 		class: 'interactive', priority: 5, idempotent: true, deadlineMs: 20_000, share: 1, hedge: true, objective: {},
@@ -34,10 +34,10 @@
 	},
 };
 
-/** The model that all engines hold. */
+/** The model that all engines serve. */
 export const modelName = 'm';
 
-/** All that a run is about. */
+/** The state of one run: the simulated processes, network, store and endpoints. */
 export class World {
 	readonly hooks = new Hooks();
 	readonly wire = new Wire();
@@ -49,7 +49,7 @@
 	readonly agents: AgentNode[] = [];
 	readonly entries: EntryNode[] = [];
 	readonly random: Random;
-	/** Lines of checks that failed inside the systems. */
+	/** Log lines of invariants that the systems under test reported as broken. */
 	readonly brokenInvariants: string[] = [];
 	readonly #log = new Log('proof', 'error', line => {
 		if (line.includes('event=invariant_broken')) {
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Starts an agent beside the endpoint of its name. */
+	/** Starts an agent for the endpoint of the same name, and connects it to all running entries. */
 	startAgent(name: string): AgentNode {
 		const engine = this.engines.find(other => other.name === name);
 		const ledger = this.ledgers.find(other => other.name === name);
@@ -110,10 +110,10 @@
 		return entry;
 	}
 
-	/** Kills an agent; a new one beside the same endpoint comes up after a while. */
+	/** Kills an agent and starts a new one for the same endpoint after `afterMs` milliseconds. */
 	restartAgent(name: string, afterMs: number): void {
 		const index = this.agents.findIndex(agent => agent.name === name);
-		// One that is dead already is on its way back.
+		// The agent is already dead, and its restart is scheduled.
 		if (index === -1) {
 			return;
 		}
@@ -125,7 +125,7 @@
 		}, afterMs);
 	}
 
-	/** Kills an entry; a new one with a new name comes up after a while. */
+	/** Kills an entry and starts one with a new name after `afterMs` milliseconds. */
 	replaceEntry(name: string, afterMs: number): void {
 		this.entries.find(entry => entry.name === name)?.kill();
 		setTimeout(() => {
@@ -134,7 +134,7 @@
 		}, afterMs);
 	}
 
-	/** An entry that lives, by turns; undefined while none does. */
+	/** Picks a running entry in round-robin order; undefined if none is running. */
 	pickEntry(turn: number): EntryNode | undefined {
 		const living = this.entries.filter(({isAlive}) => isAlive);
 		return living[turn % living.length];
