--- a/scripts/ablate.ts
+++ b/scripts/ablate.ts
@@ -1,10 +1,10 @@
 /**
- * Measures what each mechanism of the policy is worth: plays days with it and without it, and prints the paired differences.
+ * Measures the contribution of each mechanism of the policy: runs days with and without it and prints the paired differences.
  *
  * npm run ablate -- --bench PROGRAM --site FILE --days a,b --seeds 1,2,3 --scratch DIR --why TEXT [--only name,...] [--jobs 4]
  *
- * PROGRAM plays one day with `run FILE DAY --seed N --report JSON` in a checkout. Each mechanism is played in a clone of the last commit
- * below DIR, with the policy set in the deploy file. One play says little: what counts is the mean of the differences
+ * PROGRAM runs one day with `run FILE DAY --seed N --report JSON` in a checkout. Each variant runs in its own clone of the last commit
+ * below DIR, with its policy set in the deploy file. Single runs vary too much to compare: judge the mean of the differences
  * against its standard error.
  */
 import {execFile, execFileSync} from 'node:child_process';
@@ -18,13 +18,13 @@
 import {z} from 'zod';
 import type {Policy} from '@wasabiusher/decisions';
 
-/** Longest output of a play, in bytes. */
+/** Maximum output of a run, in bytes. */
 const maxOutputBytes = 2 ** 28;
 
-/** Exit status of wrong usage, by convention. */
+/** Conventional exit status for invalid command-line arguments. */
 const usageStatus = 2;
 
-/** Runs a program in a checkout; rejects if it fails. */
+/** Runs a program in a checkout. Rejects if it exits with an error. */
 async function run(program: string, words: string[], cwd: string): Promise<void> {
 	return new Promise((resolve, reject) => {
 		execFile(program, words, {cwd, maxBuffer: maxOutputBytes}, error => {
@@ -37,7 +37,7 @@
 	});
 }
 
-/** Without each mechanism, by its name; `all` is the policy as it is. */
+/** Policy changes that disable one mechanism each, by the mechanism's name. `all` is the unchanged policy. */
 const variants: Readonly<Record<string, Partial<Policy>>> = {
 	all: {},
 	moves: {movesRuns: false},
@@ -83,7 +83,7 @@
 
 const reportSchema = z.object({breaks: z.record(z.string(), z.unknown()).default({}), fault: z.unknown().optional()}).catchall(z.unknown());
 
-/** The field of a report that holds the day's worth. */
+/** Field of a report that holds the score of the day. */
 const worthField = 'G';
 
 type Options = z.infer<typeof optionsSchema>;
@@ -98,7 +98,7 @@
 	const unknown = parsed.data?.only.filter(name => !Object.hasOwn(variants, name)) ?? [];
 	if (!parsed.success || unknown.length > 0) {
 		const issue = parsed.error?.issues[0];
-		const problem = issue ? `--${issue.path.join('.')}: ${issue.message}` : `unknown mechanism ${unknown.join(', ')}; known are ${Object.keys(variants).join(', ')}`;
+		const problem = issue ? `--${issue.path.join('.')}: ${issue.message}` : `unknown mechanism ${unknown.join(', ')}; expected one of ${Object.keys(variants).join(', ')}`;
 		process.stderr.write(`ablate: ${problem}\n`);
 		return undefined;
 	}
@@ -106,17 +106,17 @@
 	return parsed.data;
 }
 
-/** Adds a variable to those that a deploy file sets for its one role; the file sets some already. */
+/** Adds an environment variable to the role of a deploy file. The file has one role, which must already set `env`. */
 function setVariable(deploy: string, name: string, value: string): string {
 	const changed = deploy.replace(/^env = \{ /mv, () => `env = { ${name} = ${JSON.stringify(value)}, `);
 	if (changed === deploy) {
-		throw new Error('deploy/system.toml sets no variables: expected a line that begins with "env = { "');
+		throw new Error('deploy/system.toml sets no environment variables: expected a line that begins with "env = { "');
 	}
 
 	return changed;
 }
 
-/** Makes a clone with its own policy, ready to be played. */
+/** Creates and builds a clone whose deploy file sets the variant's policy. An existing clone is reused. */
 async function prepare(variant: string, scratch: string, bench: string): Promise<string> {
 	const directory = path.join(scratch, variant);
 	if (!existsSync(directory)) {
@@ -136,7 +136,7 @@
 	try {
 		await run(bench, ['run', site, day, '--seed', seed, '--jobs', '1', '--report', report, '--why', `${why} (without ${variant})`], directory);
 	} catch {
-		// A day that breaks a rule ends with a status of its own; its report tells, or is missing.
+		// A day on which a rule is broken exits with a non-zero status. The report has the details, or is missing.
 	}
 
 	if (!existsSync(report)) {
@@ -167,7 +167,7 @@
 	const names = ['all', ...options.only.filter(name => name !== 'all')];
 	const directories = new Map<string, string>();
 	for (const name of names) {
-		// One build after the other: several at once would write the same files of a cache.
+		// Builds run one after the other because concurrent builds would write the same cache files.
 		// eslint-disable-next-line no-await-in-loop
 		directories.set(name, await prepare(name, scratch, bench));
 	}
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -1,8 +1,8 @@
 /**
- * `npm run bench`: measures the path, the messages, the rows and the decisions.
+ * `npm run bench`: measures the request path, memory, messages, stored rows and decisions.
  *
- * Prints a table, or with `--json` one line of JSON a figure. Ends with status 1 if a figure grows faster than
- * n log n. Builds the programs first, since the path is measured on the bundles.
+ * Prints a table, or with `--json` one line of JSON per figure. Exits with status 1 if a figure grows faster than
+ * n log n. Builds the programs first, because the request path is measured on the bundles.
  */
 import process from 'node:process';
 import {z} from 'zod';
@@ -19,9 +19,9 @@
 type Group = (typeof groups)[number];
 
 const settings = loadSettings('bench', '0.1.0', z.object({
-	json: z.stringbool().default(false).describe('print one line of JSON a figure'),
-	only: z.enum(['all', ...groups]).default('all').describe('measure one group only'),
-	seconds: z.coerce.number().min(1).max(600).default(5).describe('length of each part of the path'),
+	json: z.stringbool().default(false).describe('print one line of JSON per figure'),
+	only: z.enum(['all', ...groups]).default('all').describe('group of figures to measure'),
+	seconds: z.coerce.number().min(1).max(600).default(5).describe('duration of each measurement of the request path, in seconds'),
 }));
 
 const measures: Readonly<Record<Group, () => Figure[] | Promise<Figure[]>>> = {
@@ -44,7 +44,7 @@
 		continue;
 	}
 
-	// One group after the other, so that none disturbs another.
+	// Groups run one after the other so that they do not compete for the processor.
 	// eslint-disable-next-line no-await-in-loop
 	const figures = await measures[group]();
 	for (const figure of figures) {
@@ -53,6 +53,6 @@
 	}
 }
 
-// Requests of the memory measure are left open, with timers that would keep the process for minutes.
+// The memory measurement leaves requests open whose timers would keep the process alive for minutes.
 // eslint-disable-next-line unicorn/no-process-exit
 process.exit();
--- a/scripts/bench/decisions.ts
+++ b/scripts/bench/decisions.ts
@@ -1,5 +1,5 @@
 /**
- * Processor time of the decisions that are made for each request.
+ * Measures the processor time of routing, queueing and subset decisions.
  */
 import {
 	chooseEndpoint, FairQueue, findSubset, type Candidate,
@@ -11,15 +11,15 @@
 
 const seed = 1;
 
-/** An entry sees 64 endpoints by default; a small deployment has a few. */
+/** Numbers of candidate endpoints. An entry chooses among 64 endpoints by default; small deployments have a few. */
 const candidateCounts = [8, 64, 512] as const;
 
 const queueLengths = [100, 1000, 10_000] as const;
 
-/** Endpoints of a data centre, up to one of 19 at the size designed for. */
+/** Endpoints of a data centre; the largest is one of 19 data centres at the design size of 10,000 endpoints. */
 const endpointCounts = [53, 175, 526] as const;
 
-/** Entries for each endpoint at the size designed for: 1,700 before 10,000 servers. */
+/** Entries per endpoint at the design size: 1,700 entries for 10,000 endpoints. */
 const entryRatio = 0.17;
 
 function countEntries(endpoints: number): number {
@@ -34,7 +34,7 @@
 	return measureUs(() => chooseEndpoint(candidates, random, {dataCentre: 'innsbruck-a'}));
 }
 
-/** One job in and one out, at a line of so many waiting jobs of a hundred callers. */
+/** Time of one push and one pop, in microseconds, at a queue with `length` waiting jobs of 100 callers. */
 function measureQueue(length: number): number {
 	const queue = new FairQueue<number>();
 	const random = new Random(seed);
@@ -56,7 +56,10 @@
 	});
 }
 
-/** One in and one served, at a line of so many of a hundred customers, three classes and eight kinds of need, of which one has no endpoint. */
+/**
+ * Time of adding and serving one job, in microseconds, at a host's wait queue with `length` waiting jobs
+ * of 100 customers, three urgencies and eight eligibility classes, one of which has no available endpoint.
+ */
 function measureGrant(length: number): number {
 	const order = new FairPriorityQueue<number>();
 	const random = new Random(seed);
@@ -92,7 +95,7 @@
 		createSlope('routing decision CPU', 'us/candidate', measure(candidateCounts, measureRouting)),
 		createSlope('queue push and pop CPU', 'us/waiting job', measure(queueLengths, measureQueue)),
 		createSlope('grant in the line of a host CPU', 'us/waiting job', measure(queueLengths, measureGrant)),
-		// Each pair of an entry and an endpoint is ranked, so it grows with the square of a data centre.
+		// Every pair of an entry and an endpoint is ranked, so the cost grows with the square of the data centre's size.
 		createSlope('subset CPU', 'us/pair', endpointCounts.map(count => ({n: count * countEntries(count), value: measureSubset(count)}))),
 	];
 }
--- a/scripts/bench/deployment.ts
+++ b/scripts/bench/deployment.ts
@@ -1,17 +1,17 @@
 /**
- * One entry, one agent, one engine stand-in and the platform's, each a process of its own.
+ * Deployment for measurements: one entry, one agent, one engine stand-in and one platform stand-in, each in its own process.
  */
 import {request} from 'undici';
 import {createConfiguration} from './messages.js';
 import {findFreeAddress, type Processes} from './processes.js';
 import type {Target} from './traffic.js';
 
-/** Slots of the stand-in; more than are open, so that it is never what limits. */
+/** Slots of the engine stand-in: more than there are open requests, so that the stand-in is never the bottleneck. */
 const slots = 512;
 
 export type Deployment = {direct: Target; through: Target; entryPid: number; agentPid: number; agentOrigin: string};
 
-/** Starts the processes and applies a configuration with one profile. */
+/** Starts the processes and applies a configuration with one profile. Returns the targets with and without the system in the path. */
 export async function startDeployment(processes: Processes): Promise<Deployment> {
 	const address = {
 		platform: await findFreeAddress(), engine: await findFreeAddress(), agent: await findFreeAddress(), entry: await findFreeAddress(), operators: await findFreeAddress(),
--- a/scripts/bench/figure.ts
+++ b/scripts/bench/figure.ts
@@ -1,5 +1,5 @@
 /**
- * Figures of the bench, and how they grow with size.
+ * Figures of the bench: how they are fitted over sizes, checked for growth and printed.
  */
 
 /** One measured figure. */
@@ -7,26 +7,26 @@
 	name: string;
 	value: number;
 	unit: string;
-	/** The same measured without the system, in the same run. */
+	/** The same measurement without the system, in the same run. */
 	baseline?: number;
 	/** Value over baseline. */
 	ratio?: number;
-	/** Operations or rows measured, the largest size where there are several. */
+	/** Number of measured operations or rows; the largest size if there are several. */
 	n: number;
 	/** Measurements by size, where the value is a slope. */
 	sizes?: Array<{n: number; value: number}>;
-	/** What the value is at size 0 by the fit. */
+	/** Fitted value at size 0. */
 	intercept?: number;
-	/** Whether growth is worse than n log n, which fails the figure. */
+	/** Whether the figure grows faster than n log n, which fails the bench. */
 	hasFailed?: boolean;
 };
 
 export type Measurement = {n: number; value: number};
 
-/** Allowed excess over n log n: timing noise between sizes. */
+/** Factor by which growth may exceed n log n between two sizes, to allow for timing noise. */
 const growthTolerance = 1.5;
 
-/** Least squares through the measurements. */
+/** Fits a line to the measurements by least squares. */
 export function fitLine(measurements: readonly Measurement[]): {slope: number; intercept: number} {
 	const count = measurements.length;
 	const meanN = measurements.reduce((sum, {n}) => sum + n, 0) / count;
@@ -41,7 +41,7 @@
 	return n * Math.log2(Math.max(2, n));
 }
 
-/** Whether the value grows faster than n log n from one size to the next. */
+/** Returns whether the value grows faster than n log n between any two consecutive sizes. */
 export function isWorseThanLinearithmic(measurements: readonly Measurement[]): boolean {
 	return measurements.slice(1).some(({n, value}, index) => {
 		const before = measurements[index]!;
@@ -49,7 +49,7 @@
 	});
 }
 
-/** A figure whose value is the slope over sizes. */
+/** Creates a figure whose value is the slope over sizes. */
 export function createSlope(name: string, unit: string, measurements: readonly Measurement[]): Figure {
 	const {slope, intercept} = fitLine(measurements);
 	return {
--- a/scripts/bench/measure.ts
+++ b/scripts/bench/measure.ts
@@ -1,24 +1,24 @@
 /**
- * Measures of processor time and heap within one process.
+ * Measures processor time and heap within the current process.
  */
 import process from 'node:process';
 import {setFlagsFromString} from 'node:v8';
 import {runInNewContext} from 'node:vm';
 
-/** Time that each measure is repeated for, in milliseconds, after as long a warm-up. */
+/** Duration of a measurement, in milliseconds. A warm-up of the same duration precedes it. */
 const measureMs = 150;
 
-/** The collector, which the runtime shows only when told to. */
+/** Returns the garbage collector function, which Node.js exposes only with the V8 flag `--expose_gc`. */
 function findCollector(): () => void {
 	setFlagsFromString('--expose_gc');
-	// The name exists only in contexts made after the flag was set.
+	// `gc` is defined only in contexts created after the flag is set.
 	// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion
 	return runInNewContext('gc') as () => void;
 }
 
 const collect = findCollector();
 
-/** Time of one call in microseconds: the least of several batches, as other processes only add to it. */
+/** Returns the time of one call, in microseconds: the minimum over several batches, because interference by other processes only adds time. */
 export function measureUs(run: () => unknown): number {
 	const batch = findBatch(run);
 	let least = Number.POSITIVE_INFINITY;
@@ -30,13 +30,13 @@
 	return least * 1000 / batch;
 }
 
-/** Time of one call in microseconds, of calls that resolve later. */
+/** Returns the time of one asynchronous call, in microseconds. `run` makes `batch` calls. */
 export async function measureAsyncUs(run: () => Promise<unknown>, batch: number): Promise<number> {
 	let least = Number.POSITIVE_INFINITY;
 	const until = performance.now() + (2 * measureMs);
 	while (performance.now() < until) {
 		const startedAt = performance.now();
-		// Batches follow one another.
+		// Batches run one after the other.
 		// eslint-disable-next-line no-await-in-loop
 		await run();
 		least = Math.min(least, performance.now() - startedAt);
@@ -45,7 +45,7 @@
 	return least * 1000 / batch;
 }
 
-/** Calls in a batch of about a millisecond; warms the code up by the way. */
+/** Returns the number of calls that take about one millisecond. Warms up the code in the process. */
 function findBatch(run: () => unknown): number {
 	const until = performance.now() + measureMs;
 	let batch = 1;
@@ -67,10 +67,10 @@
 	return performance.now() - startedAt;
 }
 
-/** How often heap is measured; the median is taken, as other things are freed meanwhile. */
+/** Number of heap measurements. Their median is used, because unrelated objects are freed during a measurement. */
 const heapRounds = 5;
 
-/** Heap that what `create` returns keeps alive, in bytes. */
+/** Returns the heap that the result of `create` keeps alive, in bytes. */
 export function measureHeap(create: () => unknown): number {
 	const rounds = Array.from({length: heapRounds}, () => measureHeapOnce(create));
 	return rounds.toSorted((a, b) => a - b)[Math.floor(heapRounds / 2)]!;
@@ -82,6 +82,6 @@
 	const kept = create();
 	collect();
 	const bytes = process.memoryUsage().heapUsed - before;
-	// Used after the measurement, so that it is not collected before.
+	// Referenced after the measurement, so that it is not collected earlier.
 	return kept === undefined ? 0 : bytes;
 }
--- a/scripts/bench/memory.ts
+++ b/scripts/bench/memory.ts
@@ -1,5 +1,5 @@
 /**
- * Heap of what processes keep a row for.
+ * Measures the heap per endpoint, request, profile and sample.
  */
 import {MemoryObjectStore, MemoryTableService} from '@wasabiusher/standins';
 import {createSilentLog, Random, type Sample} from '@wasabiusher/shared';
@@ -8,10 +8,10 @@
 import {measureHeap} from './measure.js';
 import {createConfiguration, createProfile} from './messages.js';
 
-/** Large enough that what the collector leaves behind does not count. */
+/** Numbers of rows, large enough that garbage which survives a collection is negligible. */
 const sizes = [500, 1000, 4000] as const;
 
-/** Tokens of a sample in flight; its text is kept until it is handed over. */
+/** Tokens of a sample in flight, whose text is retained until the sample is handed over. */
 const sampleTokens = 512;
 
 function createDispatcher(endpoints: number): Dispatcher {
@@ -40,7 +40,7 @@
 	return dispatcher;
 }
 
-/** One for all calls, as in an entry. */
+/** Profile shared by all calls, as in an entry. */
 const profile = {...createProfile(), deadlineMs: 600_000};
 
 function createCall(index: number): Call {
@@ -64,7 +64,7 @@
 	onFailed: () => undefined,
 };
 
-/** Requests sent to endpoints and not answered so far. */
+/** Creates requests that were sent to endpoints and are not answered yet. */
 function openRequests(count: number): unknown {
 	const dispatcher = createDispatcher(Math.ceil(count / 50));
 	const runs = Array.from({length: count}, (_, index) => dispatcher.submit(createCall(index), silentListener));
@@ -80,13 +80,13 @@
 		attempt: 1,
 		model: 'trail',
 		versions: [{version: 3, from: 0, to: sampleTokens}],
-		// Built piece by piece, as it arrives.
+		// Built from pieces, because a generated text arrives in pieces.
 		text: Array.from({length: sampleTokens}, (_token, token) => `t${token} `).join(''),
 		tokens: sampleTokens,
 	}));
 }
 
-/** What is measured for each row, by the name of its figure. */
+/** Functions that create the measured rows, by the name of the figure. */
 const creations: Readonly<Record<string, (count: number) => unknown>> = {
 	'heap of an endpoint row': createDispatcher,
 	'heap of a request row': openRequests,
@@ -95,7 +95,7 @@
 };
 
 export function measureMemory(): Figure[] {
-	// Loads what the first use loads, so that no figure has it.
+	// Initializes lazily loaded code, so that it does not count in the first figure.
 	measureHeap(() => [createDispatcher(1), openRequests(1), new MemoryTableService(), new MemoryObjectStore(), createSilentLog()]);
 	return Object.entries(creations).map(([name, create]) => createSlope(name, 'B', sizes.map(n => ({n, value: measureHeap(() => create(n))}))));
 }
--- a/scripts/bench/messages.ts
+++ b/scripts/bench/messages.ts
@@ -1,5 +1,5 @@
 /**
- * Bytes and processor time of the messages between entries and agents, from encoding to the checked message.
+ * Measures the bytes and processor time of messages between entries and agents. The time covers encoding, decoding and validation.
  */
 import {decodeMessage, encodeMessage, type Message} from '@wasabiusher/link';
 import {memberSchema, type Member} from '@wasabiusher/backends';
@@ -18,7 +18,7 @@
 	});
 }
 
-/** A configuration with so many profiles and one pool. */
+/** Creates a configuration with the given number of profiles and one service. */
 export function createConfiguration(profiles: number): Configuration {
 	return configurationSchema.parse({
 		profiles: Object.fromEntries(Array.from({length: profiles}, (_, index) => [`profile-${index}`, createProfile()])),
@@ -90,7 +90,7 @@
 	};
 }
 
-/** Messages by the name of their figure, with what their size counts. */
+/** Messages by the name of their figure, with the unit that their size counts. */
 const messages: Readonly<Record<string, {per: string; sizes: readonly number[]; create(size: number): Message}>> = {
 	'load report': {per: 'model', sizes: [1, 10, 100], create: createStatus},
 	'configuration delta': {per: 'profile', sizes: [1, 10, 100, 1000], create: createDelta},
@@ -107,7 +107,7 @@
 
 const memberCounts = [100, 1000, 10_000] as const;
 
-/** Bytes and processor time of reading the platform's membership list, by its hosts. */
+/** Measures the bytes of the platform's membership list and the processor time of parsing it, per host. */
 function measureMembership(): Figure[] {
 	const measured = memberCounts.map(n => {
 		const members = Array.from({length: n}, (_, index): Member => ({
--- a/scripts/bench/path.ts
+++ b/scripts/bench/path.ts
@@ -1,6 +1,6 @@
 /**
- * The whole path, from a caller through one entry and one agent to an engine stand-in, each a process of its
- * own, beside the same requests sent straight to the engine.
+ * Measures the request path from a caller through one entry and one agent to an engine stand-in, each in its own
+ * process. The baseline is the same requests sent directly to the engine.
  */
 import {createCompared, type Figure} from './figure.js';
 import {startDeployment, type Deployment} from './deployment.js';
@@ -11,13 +11,13 @@
 
 const wholeCall: Shape = {tokens: 1, stream: false};
 
-/** A stream long enough that its tokens count and not its start. */
+/** A stream long enough that the cost of its tokens dominates that of its start. */
 const longStream: Shape = {tokens: 1024, stream: true};
 
-/** Requests at once, enough to keep one core busy. */
+/** Concurrent requests, enough to saturate one core. */
 const concurrency = 64;
 
-/** Fraction of the greatest rate at which added latency is measured. */
+/** Fraction of the maximum rate at which added latency is measured. */
 const halfLoad = 0.5;
 
 async function withTraffic<Result>(target: Target, shape: Shape, run: (traffic: Traffic) => Promise<Result>): Promise<Result> {
@@ -29,11 +29,11 @@
 	}
 }
 
-/** Requests in a second through the system and straight to the engine, and the entry's and agent's processor time for each. */
+/** Measures requests per second through the system and directly to the engine, and the processor time of entry and agent per request. */
 async function measureThroughput(deployment: Deployment, seconds: number): Promise<{figures: Figure[]; perSecond: number}> {
 	const {direct, through, entryPid, agentPid} = deployment;
 	const saturate = async (target: Target) => withTraffic(target, wholeCall, async traffic => traffic.saturate(concurrency, seconds));
-	// Warms up both ways.
+	// Warms up the code and the connections of entry, agent and engine.
 	await withTraffic(through, wholeCall, async traffic => traffic.saturate(concurrency, 1));
 	const baseline = await saturate(direct);
 	const before = await Promise.all([entryPid, agentPid].map(async pid => readCpuSeconds(pid)));
@@ -76,7 +76,7 @@
 async function measureLatency({direct, through}: Deployment, perSecond: number, seconds: number): Promise<Figure[]> {
 	const rate = perSecond * halfLoad;
 	const pace = async (target: Target) => withTraffic(target, wholeCall, async traffic => {
-		// Opens the connections and warms the code up.
+		// Opens the connections and warms up the code.
 		await traffic.pace(rate, 1);
 		return traffic.pace(rate, seconds);
 	});
@@ -90,7 +90,7 @@
 	});
 }
 
-/** Resident memory of an agent without work beside a bare Node.js process. */
+/** Measures the resident memory of an idle agent, with an idle Node.js process as the baseline. */
 async function measureIdle(processes: Processes, agentPid: number): Promise<Figure> {
 	const barePid = processes.start('--eval', 'setInterval(() => {}, 1000)');
 	await pause(1000);
@@ -98,7 +98,7 @@
 	return createCompared('RSS of an idle agent', 'MB', {value: value!, baseline: baseline!, n: 1});
 }
 
-/** @param seconds - length of each part */
+/** @param seconds - duration of each measurement, in seconds */
 export async function measurePath(seconds: number): Promise<Figure[]> {
 	const processes = new Processes();
 	try {
--- a/scripts/bench/processes.ts
+++ b/scripts/bench/processes.ts
@@ -1,5 +1,5 @@
 /**
- * Starts the programs of `dist/` as processes of their own, and ends them.
+ * Starts the programs in `dist/` as child processes and stops them.
  */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {once} from 'node:events';
@@ -7,30 +7,30 @@
 import {createServer} from 'node:net';
 import process from 'node:process';
 
-/** Longest wait for a program to answer, in milliseconds. */
+/** Time within which a program must become ready, in milliseconds. */
 const startTimeoutMs = 15_000;
 
-/** Keeps the programs from logging over the figures. */
+/** Environment variable of the log level; set to `error` so that logs do not mix with the printed figures. */
 const logLevelVariable = 'WASABIUSHER_LOG_LEVEL';
 
-/** How often it is asked, in milliseconds. */
+/** Interval between readiness checks, in milliseconds. */
 const pollMs = 20;
 
 export class Processes {
 	readonly #children: ChildProcess[] = [];
 
-	/** Starts Node.js with arguments; resolves to the process's id. */
+	/** Starts Node.js with the given arguments. Returns the process id. */
 	start(...argv: string[]): number {
 		const child = spawn(process.execPath, argv, {stdio: ['ignore', 'ignore', 'inherit'], env: {...process.env, [logLevelVariable]: 'error'}});
 		this.#children.push(child);
 		if (child.pid === undefined) {
-			throw new Error(`${argv[0]} can not be started`);
+			throw new Error(`could not start node ${argv[0]}`);
 		}
 
 		return child.pid;
 	}
 
-	/** Starts a program of `dist/` with its settings; resolves when it answers at `listen`. */
+	/** Starts a program in `dist/` with the given settings. Resolves to its process id once it answers health checks at `listen`. */
 	async startProgram(name: string, settings: Readonly<Record<string, string | number>>): Promise<number> {
 		const flags = Object.entries(settings).flatMap(([flag, value]) => [`--${flag}`, String(value)]);
 		const pid = this.start(`dist/${name}.mjs`, ...flags);
@@ -41,12 +41,12 @@
 		return pid;
 	}
 
-	/** Ends all, the last started first. */
+	/** Stops all processes, the last started first. */
 	async stop(): Promise<void> {
 		for (const child of this.#children.toReversed()) {
 			if (child.exitCode === null && child.signalCode === null) {
 				child.kill('SIGTERM');
-				// They depend on each other.
+				// Later processes depend on earlier ones, so each must exit before the next is stopped.
 				// eslint-disable-next-line no-await-in-loop
 				await once(child, 'exit');
 			}
@@ -54,11 +54,11 @@
 	}
 }
 
-/** Resolves when the test holds; a test that throws does not. */
+/** Polls until the test returns true; a test that throws counts as false. Throws after `startTimeoutMs`. */
 export async function waitFor(test: () => Promise<boolean>): Promise<void> {
 	const until = performance.now() + startTimeoutMs;
 	while (performance.now() < until) {
-		// Each try waits for the one before.
+		// Each poll waits for the previous one.
 		// eslint-disable-next-line no-await-in-loop
 		if (await test().catch(() => false)) {
 			return;
@@ -68,7 +68,7 @@
 		await pause(pollMs);
 	}
 
-	throw new Error('a program did not come up in time');
+	throw new Error('a program did not become ready before the start timeout');
 }
 
 export async function pause(timeMs: number): Promise<void> {
@@ -77,7 +77,7 @@
 	});
 }
 
-/** An address on loopback that was free a moment ago. */
+/** Returns a loopback address whose port was free when checked; another process may bind it before it is used. */
 export async function findFreeAddress(): Promise<string> {
 	const server = createServer();
 	server.listen(0, '127.0.0.1');
@@ -88,19 +88,19 @@
 	return `127.0.0.1:${typeof bound === 'object' ? bound!.port : 0}`;
 }
 
-/** Resident memory of a process, in MB (10^6 bytes). */
+/** Reads the resident memory of a process, in MB (10^6 bytes). */
 export async function readRssMb(pid: number): Promise<number> {
 	const status = await readFile(`/proc/${pid}/status`, 'utf8');
 	return Number(/VmRSS:\s+(?<kb>\d+) kB/v.exec(status)!.groups!.kb) * 1024 / 1e6;
 }
 
-/** Clock ticks of the kernel in a second, as Linux reports processor time to programs. */
+/** Clock ticks per second (USER_HZ), the unit in which Linux reports processor time in /proc. */
 const ticksPerSecond = 100;
 
-/** Processor time that a process has used, in seconds. */
+/** Reads the processor time that a process has used, in seconds. */
 export async function readCpuSeconds(pid: number): Promise<number> {
 	const stat = await readFile(`/proc/${pid}/stat`, 'utf8');
-	// Fields after the command's name, which may hold spaces; user and system time are the 12th and 13th of them.
+	// The command name may contain spaces, so fields are counted after its closing parenthesis; user and system time are the 12th and 13th.
 	const fields = stat.slice(stat.lastIndexOf(')') + 2).split(' ');
 	return (Number(fields[11]) + Number(fields[12])) / ticksPerSecond;
 }
--- a/scripts/bench/record.ts
+++ b/scripts/bench/record.ts
@@ -1,5 +1,5 @@
 /**
- * Bytes and processor time of what goes to the table service and the object store.
+ * Measures the bytes, processor time and transactions of writes to the table service.
  */
 import {ClaimLog, LeaseHolder, SampleLog} from '@wasabiusher/record';
 import {createSilentLog, Random, type Sample} from '@wasabiusher/shared';
@@ -12,7 +12,7 @@
 
 const leaseCounts = [1, 10, 100] as const;
 
-/** Counts the bytes of writes, as JSON. */
+/** Counts transactions and the bytes of their writes as JSON. */
 class CountingTables extends MemoryTableService {
 	bytes = 0;
 	transactions = 0;
@@ -76,7 +76,7 @@
 async function measureAll(name: string, sizes: readonly number[], measure: (n: number) => Promise<Cost>): Promise<Figure[]> {
 	const costs: Array<Cost & {n: number}> = [];
 	for (const n of sizes) {
-		// One measure at a time.
+		// Measurements run one at a time so that they do not distort each other.
 		// eslint-disable-next-line no-await-in-loop
 		costs.push({n, ...await measure(n)});
 	}
--- a/scripts/bench/traffic.ts
+++ b/scripts/bench/traffic.ts
@@ -1,5 +1,5 @@
 /**
- * Traffic over HTTP, to an entry or straight to an engine: the same requests, so that the two compare.
+ * HTTP traffic to an entry or directly to an engine. Both receive the same requests, so that results are comparable.
  */
 import {Agent, request} from 'undici';
 import {build, type Histogram} from 'hdr-histogram-js';
@@ -8,10 +8,10 @@
 
 export type Shape = {tokens: number; stream: boolean};
 
-/** Requests open at once at the most in paced traffic. */
+/** Maximum number of concurrent connections to the target. */
 const maxOpen = 512;
 
-/** Greatest latency told apart, in microseconds. */
+/** Highest latency that the histogram can record, in microseconds. */
 const maxLatencyUs = 60_000_000;
 
 const maxTokens = 'max_tokens';
@@ -29,7 +29,7 @@
 		this.#url = new URL('/v1/completions', target.origin);
 	}
 
-	/** One request, read to its end. */
+	/** Sends one request and reads the response to its end. Throws unless the status is 200. */
 	async send(): Promise<void> {
 		const {tokens, stream} = this.#shape;
 		const {statusCode, body} = await request(this.#url, {
@@ -42,18 +42,18 @@
 		});
 		await body.dump({limit: Number.POSITIVE_INFINITY});
 		if (statusCode !== 200) {
-			throw new Error(`status ${statusCode}`);
+			throw new Error(`expected status 200, got ${statusCode}`);
 		}
 	}
 
-	/** As many requests as so many at once can make in a time; resolves to requests in a second. */
+	/** Sends requests from `concurrency` senders for `seconds`. Resolves to the number of requests and their rate per second. */
 	async saturate(concurrency: number, seconds: number): Promise<{perSecond: number; n: number}> {
 		const startedAt = performance.now();
 		const until = startedAt + (seconds * 1000);
 		let n = 0;
 		await Promise.all(Array.from({length: concurrency}, async () => {
 			while (performance.now() < until) {
-				// Each sender sends one after the other.
+				// Each sender waits for the response before its next request.
 				// eslint-disable-next-line no-await-in-loop
 				await this.send();
 				n += 1;
@@ -62,7 +62,7 @@
 		return {n, perSecond: n * 1000 / (performance.now() - startedAt)};
 	}
 
-	/** Requests at a steady rate, whether or not those before are answered; latencies from when each was due. */
+	/** Sends requests at a constant rate without waiting for responses (open loop). Resolves to their latencies in microseconds. */
 	async pace(perSecond: number, seconds: number): Promise<Histogram> {
 		const histogram = build({highestTrackableValue: maxLatencyUs, numberOfSignificantValueDigits: 3});
 		const startedAt = performance.now();
@@ -77,7 +77,7 @@
 				});
 			}
 
-			// From the sending, not from when it was due: a timer's grain is as long as the latency looked for.
+			// Measured from sending, not from the due time: the resolution of timers is as coarse as the latency to be measured.
 			const sentAt = performance.now();
 			sent.push(this.send().then(() => {
 				histogram.recordValue(Math.max(1, Math.round((performance.now() - sentAt) * 1000)));
--- a/scripts/build-gateway.ts
+++ b/scripts/build-gateway.ts
@@ -1,5 +1,5 @@
 /**
- * Bundles the gateway into `target/`, as deploy/system.toml runs it.
+ * Bundles the gateway into `target/`, from where deploy/system.toml starts it.
  */
 import {build} from 'esbuild';
 
@@ -12,7 +12,7 @@
 	target: 'node20',
 	minify: false,
 	sourcemap: false,
-	// Bundled CommonJS libraries ask for `require`.
+	// Bundled CommonJS libraries call `require`, which ES modules do not define.
 	banner: {js: 'import {createRequire as createBundleRequire} from \'node:module\'; const require = createBundleRequire(import.meta.url);'},
 	external: ['bufferutil', 'utf-8-validate', 'msgpackr-extract'],
 });
--- a/scripts/build.ts
+++ b/scripts/build.ts
@@ -1,14 +1,14 @@
 /**
- * Bundles each program into `dist/`: one file a program, to be run by Node.js alone.
+ * Bundles each program into one file in `dist/` that needs only Node.js.
  *
- * Each bundle is started once with `--version`: a program that runs from its sources may fail as a bundle,
- * as one did whose modules were loaded in another order.
+ * Each bundle is started once with `--version`, because a program that runs from its sources can fail as a bundle:
+ * one did when bundling changed the order in which its modules were loaded.
  */
 import {execFileSync} from 'node:child_process';
 import process from 'node:process';
 import {build} from 'esbuild';
 
-/** Programs by the name of their bundle. */
+/** Entry points by the name of the bundle. */
 const programs: Readonly<Record<string, string>> = {
 	'wasabiusher-entry': 'packages/entry/src/main.ts',
 	'wasabiusher-agent': 'packages/agent/src/main.ts',
@@ -25,7 +25,7 @@
 	format: 'esm',
 	target: 'node20',
 	minify: true,
-	// Bundled CommonJS libraries ask for `require`; some import `createRequire` themselves.
+	// Bundled CommonJS libraries call `require`, which ES modules do not define. The alias avoids a clash with bundled modules that import `createRequire`.
 	banner: {js: '#!/usr/bin/env node\nimport {createRequire as createBundleRequire} from \'node:module\'; const require = createBundleRequire(import.meta.url);'},
 	external: ['bufferutil', 'utf-8-validate', 'msgpackr-extract'],
 })));
--- a/scripts/capacity.ts
+++ b/scripts/capacity.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run capacity -- --bench FILE`: works the tables of docs/CAPACITY.md out from the bench's JSON.
+ * `npm run capacity -- --bench FILE`: computes the tables of docs/CAPACITY.md from the bench's JSON output.
  *
  * Without a file it reads standard input: `npm run --silent bench -- --json | npm run --silent capacity`.
  */
@@ -12,8 +12,8 @@
 import {formatCapacity} from './capacity/tables.js';
 
 const settings = loadSettings('capacity', '0.1.0', z.object({
-	page: z.string().optional().describe('page whose tables are replaced; without it they are printed'),
-	bench: z.string().default('-').describe('file with the bench\'s JSON, a line a figure; - for standard input'),
+	page: z.string().optional().describe('page whose tables are replaced; if not set, the tables are printed'),
+	bench: z.string().default('-').describe('file with the bench\'s JSON output, one figure per line; - for standard input'),
 }));
 
 const figureSchema = z.object({
@@ -23,7 +23,7 @@
 	sizes: z.array(z.object({n: z.number(), value: z.number()})).optional(),
 });
 
-/** Between these lines of the page stand the tables. */
+/** Lines of the page that enclose the tables. */
 const marks = {begin: '<!-- tables: npm run capacity -->', end: '<!-- end of tables -->'} as const;
 
 const content = settings.bench === '-' ? await readStream(process.stdin) : await readFile(settings.bench, 'utf8');
@@ -32,11 +32,11 @@
 	return [figure.name, figure] as const;
 }));
 
-/** Throws when the bench lacks a figure, so that no table is made from a guess. */
+/** Looks up a figure. Throws if the bench output lacks it, so that no table is computed from a default. */
 const source: FigureSource = name => {
 	const figure = figures.get(name);
 	if (!figure) {
-		throw new Error(`the bench has no figure "${name}"`);
+		throw new Error(`the bench output has no figure "${name}"; run the bench with --json and all groups`);
 	}
 
 	return figure;
@@ -50,7 +50,7 @@
 	const begin = page.indexOf(marks.begin);
 	const end = page.indexOf(marks.end);
 	if (begin === -1 || end < begin) {
-		throw new Error(`${settings.page} lacks the lines "${marks.begin}" and "${marks.end}"`);
+		throw new Error(`${settings.page}: expected the line "${marks.begin}" and after it "${marks.end}"`);
 	}
 
 	await writeFile(settings.page, `${page.slice(0, begin)}${marks.begin}\n\n${tables}\n\n${page.slice(end)}`);
--- a/scripts/capacity/size.ts
+++ b/scripts/capacity/size.ts
@@ -1,5 +1,5 @@
 /**
- * The size designed for, and what follows from it and from the intervals in the code.
+ * The design size, and the loads that result from it and from the intervals in the code.
  */
 import {unthrottledLinks, minIntervalPerLinkMs} from '@wasabiusher/agent';
 import {defaultDegree} from '@wasabiusher/decisions';
@@ -8,10 +8,10 @@
 } from '@wasabiusher/entry';
 import {defaultLinkLimits} from '@wasabiusher/link';
 
-/** A figure of the bench by its name. */
+/** Returns a figure of the bench by its name. Throws if there is none. */
 export type FigureSource = (name: string) => {value: number; intercept?: number; sizes?: Array<{n: number; value: number}>};
 
-/** As the users have given it. */
+/** Size that the users require. */
 const given = {
 	entries: 1700,
 	endpoints: 10_000,
@@ -25,34 +25,34 @@
 	hostsReplacedPerDay: 3200,
 } as const;
 
-/** Intervals and bounds that the code has; named where they stand there. */
+/** Intervals and limits in the code, with the names of their constants there. */
 const intervals = {
 	/** `readersPerDataCentre` of the configuration's adopter. */
 	readersPerDataCentre: 3,
 	/** `configurationMs` and `digestTicks`. */
 	digestsPerSecond: 0.2,
-	/** Gatherers of claims, and the least time between their transactions. */
+	/** Processes of a data centre that combine claims into transactions; each commits at most `gathersPerSecond`. */
 	gatherersPerDataCentre: 2,
 	gathersPerSecond: 5,
-	/** Entries of a data centre that try for a rollout lease. */
+	/** Entries of a data centre that compete for a rollout lease. */
 	controlCandidates,
-	/** Rounds of a lease: three in a term of six seconds. */
+	/** Lease renewal rounds: three per term of six seconds. */
 	leaseRoundsPerSecond: 0.5,
 } as const;
 
-/** What the users have not stated; each is named beside what follows from it. */
+/** Values that the users have not specified. The tables should name each beside the results that depend on it. */
 const assumed = {
-	/** Pace of one stream. */
+	/** Generation rate of one stream. */
 	tokensPerSecondOfStream: 30,
-	/** Services of model engines, each with one rollout lease. */
+	/** Model services, each with one rollout lease. */
 	modelServices: 1,
-	/** Profiles of a configuration. */
+	/** Profiles in a configuration. */
 	profiles: 1000,
-	/** Batches of samples that a step's owner commits in a second. */
+	/** Batches of samples that a step's owner commits per second. */
 	batchesPerSecond: 1,
 } as const;
 
-/** The size, with what is worked out from it. */
+/** The design size with the values derived from it. */
 export type Size = typeof given & typeof intervals & typeof assumed & {
 	hosts: number;
 	linksOfEntry: number;
--- a/scripts/capacity/tables.ts
+++ b/scripts/capacity/tables.ts
@@ -1,18 +1,18 @@
 /**
- * Tables of what each role costs at the size designed for, from measured slopes.
+ * Computes the tables of each role's cost at the design size from measured slopes.
  */
 import type {FigureSource, Size} from './size.js';
 
-/** What control may cost a node, as the users have given it. */
+/** Budget of a node for control traffic and state, as the users require it. */
 const budget = {bytesPerSecond: 28_000, coreFraction: 0.022, memoryMb: 64} as const;
 
-/** One kind of control traffic of a node. */
+/** One kind of control message of a node. */
 type Traffic = {
 	what: string;
-	/** Messages in a second, sent and received together. */
+	/** Messages per second, sent and received. */
 	perSecond: number;
 	bytes: number;
-	/** Processor time of one, encoded and decoded; a node does one of the two, so this is an upper bound. */
+	/** Processor time of encoding and decoding one message, in microseconds. A node does only one of the two, so this is an upper bound. */
 	us: number;
 	mechanism: string;
 };
@@ -28,7 +28,7 @@
 	return [line(heading), line(heading.map(() => '---')), ...rows.map(row => line(row))].join('\n');
 }
 
-/** Value of a figure that is a slope, at a size: as it was measured there, or by the fit. */
+/** Returns the value of a slope figure at a size: the measured value if that size was measured, else the fitted one. */
 function evaluate(figure: ReturnType<FigureSource>, n: number): number {
 	return figure.sizes?.find(size => size.n === n)?.value ?? ((figure.intercept ?? 0) + (figure.value * n));
 }
@@ -166,7 +166,7 @@
 	].join(' ');
 }
 
-/** All tables, as Markdown. */
+/** Formats all tables as Markdown. */
 export function formatCapacity(size: Size, figure: FigureSource): string {
 	return [
 		`An entry has ${size.linksOfEntry} links, an agent ${round(size.linksOfAgent)}.`,
--- a/scripts/metrics.ts
+++ b/scripts/metrics.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run metrics`: writes docs/METRICS.md from the metrics that a running entry and agent have, and from a gateway's code.
+ * `npm run metrics`: writes docs/METRICS.md from the metrics of a running entry and agent, and from those that the gateway's code registers.
  */
 import {writeFile} from 'node:fs/promises';
 import {Registry} from 'prom-client';
@@ -19,7 +19,7 @@
 	'Those of the runtime and the process, `nodejs_…` and `process_…`, come with prom-client.',
 ].join(' ');
 
-/** Prefix of the system's own metrics; others are the runtime's, by the library. */
+/** Prefix of the system's own metrics. All others are runtime metrics that prom-client adds. */
 const ownPrefix = 'wasabiusher_';
 
 const metricsSchema = z.array(z.object({
@@ -33,7 +33,7 @@
 	return metricsSchema.parse(await response.json());
 }
 
-/** Labels seen so far, without those that a histogram adds. */
+/** Lists the labels of the values recorded so far, without `le`, which histograms add. */
 function listLabels({values}: Metric): string {
 	const names = new Set(values.flatMap(({labels}) => Object.keys(labels)));
 	names.delete('le');
@@ -48,7 +48,7 @@
 	return ['| name | type | labels seen | what it is |', '| --- | --- | --- | --- |', ...rows].join('\n');
 }
 
-/** The metrics of a gateway, as it would tell them; it needs no store for that. */
+/** Returns the metrics that a gateway exports. Uses a fixed status, so no store is needed. */
 async function listGatewayMetrics(): Promise<Metric[]> {
 	const registry = new Registry();
 	const status: GatewayStatus = {
--- a/scripts/mutants.ts
+++ b/scripts/mutants.ts
@@ -1,8 +1,8 @@
 /**
- * Deliberate faults in the record's code, each of which the tests must catch.
+ * Mutation tests: deliberate faults in the code, each of which the specs must detect.
  *
- * `npm run mutants` copies the sources to a directory of its own, applies one fault after the other there, runs the
- * tests that should catch it, and prints caught or not. The sources themselves are never changed.
+ * `npm run mutants` copies the sources to a temporary directory, applies one fault at a time there, runs the
+ * specs that should detect it, and prints whether they did. The sources themselves are never changed.
  */
 import {spawnSync} from 'node:child_process';
 import {
@@ -26,7 +26,7 @@
 const withoutInvariants: Patch = {file: systems('invariants'), find: 'if (!holds) {', replace: 'if (false as boolean) {'};
 const trueInvariants: Patch = {file: systems('invariants'), find: 'return holds;', replace: 'return true;'};
 
-/** Without the second line of defence, so that the first one is seen to be tested by itself. */
+/** Disables the invariant checks, so that the mutant must be detected by the tests of the mechanism itself. */
 const unguarded = [withoutInvariants, trueInvariants];
 
 const mutants: Mutant[] = [
@@ -240,7 +240,7 @@
 		cpSync(path.join(root, name), path.join(copy, name), {recursive: true});
 	}
 
-	// Libraries are shared; the packages of the workspace are those of the copy.
+	// Links the installed libraries; the workspace's packages resolve to the copy.
 	const modules = path.join(copy, 'node_modules');
 	mkdirSync(path.join(modules, '@wasabiusher'), {recursive: true});
 	for (const name of readdirSync(path.join(root, 'node_modules')).filter(module => module !== '@wasabiusher')) {
@@ -254,7 +254,7 @@
 	return copy;
 }
 
-/** Applies patches; undefined if the code has moved on, so that one of them does not fit any more. */
+/** Applies patches and returns the original files. Undefined, with all files restored, if the code no longer contains the text of a patch. */
 function patchSources(copy: string, patches: readonly Patch[]): Map<string, string> | undefined {
 	const originals = new Map<string, string>();
 	for (const {file, find, replace} of patches) {
@@ -278,7 +278,7 @@
 	}
 }
 
-/** Applies a mutant, runs its tests and takes it back; resolves to what to print, and whether it was caught. */
+/** Applies a mutant, runs its specs and restores the files. Returns the verdict to print and whether the mutant was caught. */
 function tryMutant(copy: string, {patches, specs}: Mutant): {isCaught: boolean; verdict: string} {
 	const originals = patchSources(copy, patches);
 	if (!originals) {
@@ -290,7 +290,7 @@
 	return {isCaught: failures > 0, verdict: failures > 0 ? `caught by ${failures}` : 'NOT CAUGHT'};
 }
 
-/** How many tests fail, in one process that ends with its time; a run that ends in any other way, such as a file that can not be loaded, is an error of this list. */
+/** Returns the number of failed tests of a Mocha process, which is stopped after 120 s. Throws if it ends in any other way, such as a spec that cannot be loaded: then the list of mutants is wrong. */
 function countFailures(copy: string, specs: readonly string[]): number {
 	const mocha = path.join(copy, 'node_modules', 'mocha', 'bin', 'mocha.js');
 	const {status, stdout} = spawnSync(process.execPath, ['--import', 'tsx', mocha, '--no-config', '--exit', '--timeout', '20000', '--reporter', 'dot', ...specs], {
@@ -298,7 +298,7 @@
 	});
 	const failures = Number(/(\d+) failing/v.exec(stdout)?.[1] ?? 0);
 	if (failures === 0 && status !== 0) {
-		throw new Error(`the tests did not run: ${stdout}`);
+		throw new Error(`Mocha ended without a test result: ${stdout}`);
 	}
 
 	return failures;
@@ -309,7 +309,7 @@
 	let missed = 0;
 	try {
 		if (countFailures(copy, [...new Set(mutants.flatMap(({specs}) => specs))]) > 0) {
-			throw new Error('the tests fail without any mutant');
+			throw new Error('the specs must pass before a mutant is applied, but some fail');
 		}
 
 		for (const mutant of mutants) {
--- a/scripts/proof-mutants.ts
+++ b/scripts/proof-mutants.ts
@@ -1,5 +1,5 @@
 /**
- * `npm run mutants:proof`: bundles the proof with one deliberate mistake at a time and tells which of them the runs catch.
+ * `npm run mutants:proof`: bundles the proof with one mutant applied at a time and reports which mutants its runs detect.
  */
 import {readFile, rm} from 'node:fs/promises';
 import path from 'node:path';
@@ -10,13 +10,13 @@
 	mutants, type Edit, type Mutant, type Path,
 } from '../packages/proof/src/index.js';
 
-/** What a bundle of the proof exports and is used here. */
+/** The exports of a bundled proof that are used here. */
 type Proof = {findBrokenRun(paths: readonly Path[], randomRuns: number): Promise<string | undefined>};
 
-/** Random runs after the matrix of single faults, before a mistake counts as not caught. */
+/** Number of random runs, after the matrix of single faults, before a mutant counts as not caught. */
 const randomRuns = 100;
 
-/** Bundles lie beside the programs', and are removed. */
+/** Directory of the bundles, inside that of the programs. It is removed at the end. */
 const outputDirectory = path.resolve('dist/mutants');
 
 function applyEdits(text: string, edits: readonly Edit[]): string {
@@ -24,7 +24,7 @@
 	for (const {file, from, to} of edits) {
 		const parts = edited.split(from);
 		if (parts.length !== 2) {
-			throw new Error(`${file} has the text of the mutant ${parts.length - 1} times, expected once: ${from}`);
+			throw new Error(`${file} contains the mutant's text ${parts.length - 1} times, expected exactly once: ${from}`);
 		}
 
 		edited = parts.join(to);
@@ -37,7 +37,7 @@
 	return {
 		name: 'mutant',
 		setup(setupBuild) {
-			// The bundler's expressions are Go's, which know no flag `v`.
+			// Esbuild evaluates filters as Go regular expressions, which do not support the flag `v`.
 			// eslint-disable-next-line require-unicode-regexp
 			setupBuild.onLoad({filter: /\.ts$/}, async ({path: loaded}) => {
 				const wanted = edits.filter(({file}) => path.resolve(file) === loaded);
@@ -65,14 +65,14 @@
 		external: ['bufferutil', 'utf-8-validate', 'msgpackr-extract'],
 		plugins: [createPlugin(mutant)],
 	});
-	// The bundle exports what the package's index does.
+	// The bundle has the exports of the package's index.
 	// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion
 	return await import(pathToFileURL(outfile).href) as Proof;
 }
 
 let missed = 0;
 for (const [index, mutant] of mutants.entries()) {
-	// One after the other: each run has the clock to itself.
+	// Mutants run one after the other because each run replaces the process's clock.
 	// eslint-disable-next-line no-await-in-loop
 	const proof = await loadProof(mutant, index);
 	// eslint-disable-next-line no-await-in-loop
--- a/scripts/reporter.cjs
+++ b/scripts/reporter.cjs
@@ -1,8 +1,8 @@
 /**
- * Mocha reporter: the spec report, then one closing line `N passed, N failed`.
+ * Mocha reporter: prints the spec report and a last line `N passed, N failed`.
  *
- * A test whose full title stands in KNOWN-RED.txt (first field of a line, fields
- * divided by tabs) is printed and counted apart, so that CI passes over just these.
+ * Failures of tests listed in KNOWN-RED.txt are printed separately and do not fail the run.
+ * Each line of that file is tab-separated and begins with the full title of a test.
  */
 const {existsSync, readFileSync} = require('node:fs');
 const path = require('node:path');
@@ -32,7 +32,7 @@
 		runner.on('fail', test => {
 			if (knownRed.has(test.fullTitle())) {
 				red.push(test.fullTitle());
-				// Mocha's exit code counts failures; a listed one must not change the verdict.
+				// Mocha's exit code is the number of failures; a listed failure must not affect it.
 				runner.failures -= 1;
 			} else {
 				failed += 1;
