--- a/scripts/ablate.ts
+++ b/scripts/ablate.ts
@@ -25,11 +25,11 @@
 const usageStatus = 2;
 
 /** Runs a program in a checkout. Rejects if it exits with an error. */
-async function run(program: string, words: string[], cwd: string): Promise<void> {
+async function run(program: string, args: string[], cwd: string): Promise<void> {
 	return new Promise((resolve, reject) => {
-		execFile(program, words, {cwd, maxBuffer: maxOutputBytes}, error => {
+		execFile(program, args, {cwd, maxBuffer: maxOutputBytes}, error => {
 			if (error) {
-				reject(new Error(`${program} ${words[0]} failed in ${cwd}`, {cause: error}));
+				reject(new Error(`${program} ${args[0]} failed in ${cwd}`, {cause: error}));
 			} else {
 				resolve();
 			}
@@ -84,13 +84,13 @@
 const reportSchema = z.object({breaks: z.record(z.string(), z.unknown()).default({}), fault: z.unknown().optional()}).catchall(z.unknown());
 
 /** Field of a report that holds the score of the day. */
-const worthField = 'G';
+const scoreField = 'G';
 
 type Options = z.infer<typeof optionsSchema>;
 
-type Play = {variant: string; day: string; seed: string};
+type DayRun = {variant: string; day: string; seed: string};
 
-type Outcome = {worth: number; isBroken: boolean};
+type Outcome = {score: number; isBroken: boolean};
 
 function readOptions(): Options | undefined {
 	const {options} = cac('ablate').help().parse();
@@ -117,7 +117,7 @@
 }
 
 /** Creates and builds a clone whose deploy file sets the variant's policy. An existing clone is reused. */
-async function prepare(variant: string, scratch: string, bench: string): Promise<string> {
+async function prepareClone(variant: string, scratch: string, bench: string): Promise<string> {
 	const directory = path.join(scratch, variant);
 	if (!existsSync(directory)) {
 		execFileSync('git', ['clone', '--quiet', '.', directory]);
@@ -131,7 +131,7 @@
 	return directory;
 }
 
-async function play({variant, day, seed}: Play, directory: string, {bench, site, why}: Options): Promise<Outcome | undefined> {
+async function play({variant, day, seed}: DayRun, directory: string, {bench, site, why}: Options): Promise<Outcome | undefined> {
 	const report = path.join(directory, `${path.basename(site)}-${path.basename(day)}-${seed}.json`);
 	try {
 		await run(bench, ['run', site, day, '--seed', seed, '--jobs', '1', '--report', report, '--why', `${why} (without ${variant})`], directory);
@@ -144,14 +144,14 @@
 	}
 
 	const {breaks, fault, ...rest} = reportSchema.parse(JSON.parse(readFileSync(report, 'utf8')));
-	return {worth: Number(rest[worthField]), isBroken: Object.keys(breaks).length > 0 || Boolean(fault)};
+	return {score: Number(rest[scoreField]), isBroken: Object.keys(breaks).length > 0 || Boolean(fault)};
 }
 
 function findMean(values: readonly number[]): number {
 	return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function findError(values: readonly number[]): number {
+function findStandardError(values: readonly number[]): number {
 	const mean = findMean(values);
 	return Math.sqrt(values.reduce((sum, value) => sum + ((value - mean) ** 2), 0) / (values.length - 1) / values.length);
 }
@@ -169,13 +169,13 @@
 	for (const name of names) {
 		// Builds run one after the other because concurrent builds would write the same cache files.
 		// eslint-disable-next-line no-await-in-loop
-		directories.set(name, await prepare(name, scratch, bench));
+		directories.set(name, await prepareClone(name, scratch, bench));
 	}
 
 	const cases = options.days.flatMap(day => options.seeds.map(seed => ({day, seed})));
 	const outcomes = new Map<string, Outcome | undefined>();
 	const queue = new PQueue({concurrency: options.jobs});
-	const toKey = ({variant, day, seed}: Play) => `${variant} ${day} ${seed}`;
+	const toKey = ({variant, day, seed}: DayRun) => `${variant} ${day} ${seed}`;
 	await queue.addAll(cases.flatMap(one => names.map(variant => async () => {
 		const chosen = {variant, ...one};
 		outcomes.set(toKey(chosen), await play(chosen, directories.get(variant)!, options));
@@ -186,11 +186,11 @@
 		const played = cases.flatMap(one => outcomes.get(toKey({variant, ...one})) ?? []);
 		const losses = cases.flatMap(one => {
 			const [before, after] = ['all', variant].map(name => outcomes.get(toKey({variant: name, ...one})));
-			return before && after ? [before.worth - after.worth] : [];
+			return before && after ? [before.score - after.score] : [];
 		});
-		const worth = findMean(played.map(play => play.worth)).toFixed(3);
+		const worth = findMean(played.map(play => play.score)).toFixed(3);
 		const broken = played.filter(({isBroken}) => isBroken).length;
-		print(`${variant.padEnd(24)} ${worth.padStart(7)}  ${findMean(losses).toFixed(3)} +- ${findError(losses).toFixed(3)}  ${losses.length}  ${broken}`);
+		print(`${variant.padEnd(24)} ${worth.padStart(7)}  ${findMean(losses).toFixed(3)} +- ${findStandardError(losses).toFixed(3)}  ${losses.length}  ${broken}`);
 	}
 }
 
--- a/scripts/bench.ts
+++ b/scripts/bench.ts
@@ -24,7 +24,7 @@
 	seconds: z.coerce.number().min(1).max(600).default(5).describe('duration of each measurement of the request path, in seconds'),
 }));
 
-const measures: Readonly<Record<Group, () => Figure[] | Promise<Figure[]>>> = {
+const measurements: Readonly<Record<Group, () => Figure[] | Promise<Figure[]>>> = {
 	async path() {
 		await import('./build.js');
 		return measurePath(settings.seconds);
@@ -46,7 +46,7 @@
 
 	// Groups run one after the other so that they do not compete for the processor.
 	// eslint-disable-next-line no-await-in-loop
-	const figures = await measures[group]();
+	const figures = await measurements[group]();
 	for (const figure of figures) {
 		print(figure);
 		process.exitCode = figure.hasFailed ? 1 : process.exitCode;
--- a/scripts/bench/decisions.ts
+++ b/scripts/bench/decisions.ts
@@ -20,10 +20,10 @@
 const endpointCounts = [53, 175, 526] as const;
 
 /** Entries per endpoint at the design size: 1,700 entries for 10,000 endpoints. */
-const entryRatio = 0.17;
+const entriesPerEndpoint = 0.17;
 
 function countEntries(endpoints: number): number {
-	return Math.round(endpoints * entryRatio);
+	return Math.round(endpoints * entriesPerEndpoint);
 }
 
 function measureRouting(count: number): number {
--- a/scripts/bench/figure.ts
+++ b/scripts/bench/figure.ts
@@ -37,7 +37,7 @@
 	return {slope, intercept: meanValue - (slope * meanN)};
 }
 
-function weigh(n: number): number {
+function computeLinearithmic(n: number): number {
 	return n * Math.log2(Math.max(2, n));
 }
 
@@ -45,7 +45,7 @@
 export function isWorseThanLinearithmic(measurements: readonly Measurement[]): boolean {
 	return measurements.slice(1).some(({n, value}, index) => {
 		const before = measurements[index]!;
-		return before.value > 0 && value / before.value > growthTolerance * weigh(n) / weigh(before.n);
+		return before.value > 0 && value / before.value > growthTolerance * computeLinearithmic(n) / computeLinearithmic(before.n);
 	});
 }
 
--- a/scripts/bench/measure.ts
+++ b/scripts/bench/measure.ts
@@ -6,23 +6,23 @@
 import {runInNewContext} from 'node:vm';
 
 /** Duration of a measurement, in milliseconds. A warm-up of the same duration precedes it. */
-const measureMs = 150;
+const measurementMs = 150;
 
 /** Returns the garbage collector function, which Node.js exposes only with the V8 flag `--expose_gc`. */
-function findCollector(): () => void {
+function exposeCollector(): () => void {
 	setFlagsFromString('--expose_gc');
 	// `gc` is defined only in contexts created after the flag is set.
 	// eslint-disable-next-line @typescript-eslint/no-unsafe-type-assertion
 	return runInNewContext('gc') as () => void;
 }
 
-const collect = findCollector();
+const collectGarbage = exposeCollector();
 
 /** Returns the time of one call, in microseconds: the minimum over several batches, because interference by other processes only adds time. */
 export function measureUs(run: () => unknown): number {
-	const batch = findBatch(run);
+	const batch = findBatchSize(run);
 	let least = Number.POSITIVE_INFINITY;
-	const until = performance.now() + measureMs;
+	const until = performance.now() + measurementMs;
 	while (performance.now() < until) {
 		least = Math.min(least, timeBatch(run, batch));
 	}
@@ -30,10 +30,10 @@
 	return least * 1000 / batch;
 }
 
-/** Returns the time of one asynchronous call, in microseconds. `run` makes `batch` calls. */
-export async function measureAsyncUs(run: () => Promise<unknown>, batch: number): Promise<number> {
+/** Returns the time of one asynchronous call, in microseconds. `run` makes `callsPerRun` calls. */
+export async function measureAsyncUs(run: () => Promise<unknown>, callsPerRun: number): Promise<number> {
 	let least = Number.POSITIVE_INFINITY;
-	const until = performance.now() + (2 * measureMs);
+	const until = performance.now() + (2 * measurementMs);
 	while (performance.now() < until) {
 		const startedAt = performance.now();
 		// Batches run one after the other.
@@ -42,12 +42,12 @@
 		least = Math.min(least, performance.now() - startedAt);
 	}
 
-	return least * 1000 / batch;
+	return least * 1000 / callsPerRun;
 }
 
 /** Returns the number of calls that take about one millisecond. Warms up the code in the process. */
-function findBatch(run: () => unknown): number {
-	const until = performance.now() + measureMs;
+function findBatchSize(run: () => unknown): number {
+	const until = performance.now() + measurementMs;
 	let batch = 1;
 	while (performance.now() < until) {
 		if (timeBatch(run, batch) < 1) {
@@ -77,10 +77,10 @@
 }
 
 function measureHeapOnce(create: () => unknown): number {
-	collect();
+	collectGarbage();
 	const before = process.memoryUsage().heapUsed;
 	const kept = create();
-	collect();
+	collectGarbage();
 	const bytes = process.memoryUsage().heapUsed - before;
 	// Referenced after the measurement, so that it is not collected earlier.
 	return kept === undefined ? 0 : bytes;
--- a/scripts/bench/memory.ts
+++ b/scripts/bench/memory.ts
@@ -65,7 +65,7 @@
 };
 
 /** Creates requests that were sent to endpoints and are not answered yet. */
-function openRequests(count: number): unknown {
+function createOpenRequests(count: number): unknown {
 	const dispatcher = createDispatcher(Math.ceil(count / 50));
 	const runs = Array.from({length: count}, (_, index) => dispatcher.submit(createCall(index), silentListener));
 	return {dispatcher, runs};
@@ -87,15 +87,15 @@
 }
 
 /** Functions that create the measured rows, by the name of the figure. */
-const creations: Readonly<Record<string, (count: number) => unknown>> = {
+const factories: Readonly<Record<string, (count: number) => unknown>> = {
 	'heap of an endpoint row': createDispatcher,
-	'heap of a request row': openRequests,
+	'heap of a request row': createOpenRequests,
 	'heap of a profile': createConfiguration,
 	'heap of a sample in flight': createSamples,
 };
 
 export function measureMemory(): Figure[] {
 	// Initializes lazily loaded code, so that it does not count in the first figure.
-	measureHeap(() => [createDispatcher(1), openRequests(1), new MemoryTableService(), new MemoryObjectStore(), createSilentLog()]);
-	return Object.entries(creations).map(([name, create]) => createSlope(name, 'B', sizes.map(n => ({n, value: measureHeap(() => create(n))}))));
+	measureHeap(() => [createDispatcher(1), createOpenRequests(1), new MemoryTableService(), new MemoryObjectStore(), createSilentLog()]);
+	return Object.entries(factories).map(([name, create]) => createSlope(name, 'B', sizes.map(n => ({n, value: measureHeap(() => create(n))}))));
 }
--- a/scripts/bench/messages.ts
+++ b/scripts/bench/messages.ts
@@ -10,7 +10,7 @@
 import {createSlope, type Figure, type Measurement} from './figure.js';
 import {measureUs} from './measure.js';
 
-const attempt = {request: '6f1e1c52-41f0-4ef5-9b4e-0c9f0f1c7f21', attempt: 1};
+const attemptKey = {request: '6f1e1c52-41f0-4ef5-9b4e-0c9f0f1c7f21', attempt: 1};
 
 export function createProfile() {
 	return profileSchema.parse({
@@ -68,7 +68,7 @@
 function createOpen(promptBytes: number): Message {
 	return {
 		kind: 'open',
-		...attempt,
+		...attemptKey,
 		work: {kind: 'generate', request: {model: 'trail', prompt: 'x'.repeat(promptBytes), maxTokens: 256}},
 		service: 'models',
 		caller: 'caller-17',
@@ -86,7 +86,7 @@
 
 function createPart(tokens: number): Message {
 	return {
-		kind: 'part', ...attempt, sequence: 7, event: {kind: 'parts', parts: [{text: 'word '.repeat(tokens), tokens, version: 1000}]},
+		kind: 'part', ...attemptKey, sequence: 7, event: {kind: 'parts', parts: [{text: 'word '.repeat(tokens), tokens, version: 1000}]},
 	};
 }
 
--- a/scripts/bench/path.ts
+++ b/scripts/bench/path.ts
@@ -5,22 +5,22 @@
 import {createCompared, type Figure} from './figure.js';
 import {startDeployment, type Deployment} from './deployment.js';
 import {
-	pause, Processes, readCpuSeconds, readRssMb, waitFor,
+	sleep, Processes, readCpuSeconds, readRssMb, waitFor,
 } from './processes.js';
-import {Traffic, type Shape, type Target} from './traffic.js';
+import {Traffic, type RequestShape, type Target} from './traffic.js';
 
-const wholeCall: Shape = {tokens: 1, stream: false};
+const wholeCall: RequestShape = {tokens: 1, stream: false};
 
 /** A stream long enough that the cost of its tokens dominates that of its start. */
-const longStream: Shape = {tokens: 1024, stream: true};
+const longStream: RequestShape = {tokens: 1024, stream: true};
 
 /** Concurrent requests, enough to saturate one core. */
 const concurrency = 64;
 
 /** Fraction of the maximum rate at which added latency is measured. */
-const halfLoad = 0.5;
+const loadFraction = 0.5;
 
-async function withTraffic<Result>(target: Target, shape: Shape, run: (traffic: Traffic) => Promise<Result>): Promise<Result> {
+async function withTraffic<Result>(target: Target, shape: RequestShape, run: (traffic: Traffic) => Promise<Result>): Promise<Result> {
 	const traffic = new Traffic(target, shape);
 	try {
 		return await run(traffic);
@@ -74,11 +74,11 @@
 }
 
 async function measureLatency({direct, through}: Deployment, perSecond: number, seconds: number): Promise<Figure[]> {
-	const rate = perSecond * halfLoad;
+	const rate = perSecond * loadFraction;
 	const pace = async (target: Target) => withTraffic(target, wholeCall, async traffic => {
 		// Opens the connections and warms up the code.
-		await traffic.pace(rate, 1);
-		return traffic.pace(rate, seconds);
+		await traffic.sendAtRate(rate, 1);
+		return traffic.sendAtRate(rate, seconds);
 	});
 	const baseline = await pace(direct);
 	const whole = await pace(through);
@@ -93,7 +93,7 @@
 /** Measures the resident memory of an idle agent, with an idle Node.js process as the baseline. */
 async function measureIdle(processes: Processes, agentPid: number): Promise<Figure> {
 	const barePid = processes.start('--eval', 'setInterval(() => {}, 1000)');
-	await pause(1000);
+	await sleep(1000);
 	const [value, baseline] = await Promise.all([agentPid, barePid].map(async pid => readRssMb(pid)));
 	return createCompared('RSS of an idle agent', 'MB', {value: value!, baseline: baseline!, n: 1});
 }
--- a/scripts/bench/processes.ts
+++ b/scripts/bench/processes.ts
@@ -65,13 +65,13 @@
 		}
 
 		// eslint-disable-next-line no-await-in-loop
-		await pause(pollMs);
+		await sleep(pollMs);
 	}
 
 	throw new Error('a program did not become ready before the start timeout');
 }
 
-export async function pause(timeMs: number): Promise<void> {
+export async function sleep(timeMs: number): Promise<void> {
 	await new Promise<void>(resolve => {
 		setTimeout(resolve, timeMs);
 	});
--- a/scripts/bench/traffic.ts
+++ b/scripts/bench/traffic.ts
@@ -6,24 +6,24 @@
 
 export type Target = {origin: string; headers: Readonly<Record<string, string>>};
 
-export type Shape = {tokens: number; stream: boolean};
+export type RequestShape = {tokens: number; stream: boolean};
 
 /** Maximum number of concurrent connections to the target. */
-const maxOpen = 512;
+const maxConnections = 512;
 
 /** Highest latency that the histogram can record, in microseconds. */
 const maxLatencyUs = 60_000_000;
 
-const maxTokens = 'max_tokens';
+const maxTokensField = 'max_tokens';
 
 /** Sends requests and counts their answers. */
 export class Traffic {
 	readonly #target: Target;
-	readonly #shape: Shape;
-	readonly #agent = new Agent({connections: maxOpen});
+	readonly #shape: RequestShape;
+	readonly #agent = new Agent({connections: maxConnections});
 	readonly #url: URL;
 
-	constructor(target: Target, shape: Shape) {
+	constructor(target: Target, shape: RequestShape) {
 		this.#target = target;
 		this.#shape = shape;
 		this.#url = new URL('/v1/completions', target.origin);
@@ -37,7 +37,7 @@
 			method: 'POST',
 			headers: {'content-type': 'application/json', ...this.#target.headers},
 			body: JSON.stringify({
-				model: 'trail', prompt: 'bench', [maxTokens]: tokens, stream,
+				model: 'trail', prompt: 'bench', [maxTokensField]: tokens, stream,
 			}),
 		});
 		await body.dump({limit: Number.POSITIVE_INFINITY});
@@ -63,7 +63,7 @@
 	}
 
 	/** Sends requests at a constant rate without waiting for responses (open loop). Resolves to their latencies in microseconds. */
-	async pace(perSecond: number, seconds: number): Promise<Histogram> {
+	async sendAtRate(perSecond: number, seconds: number): Promise<Histogram> {
 		const histogram = build({highestTrackableValue: maxLatencyUs, numberOfSignificantValueDigits: 3});
 		const startedAt = performance.now();
 		const count = Math.floor(perSecond * seconds);
--- a/scripts/capacity.ts
+++ b/scripts/capacity.ts
@@ -24,7 +24,7 @@
 });
 
 /** Lines of the page that enclose the tables. */
-const marks = {begin: '<!-- tables: npm run capacity -->', end: '<!-- end of tables -->'} as const;
+const markers = {begin: '<!-- tables: npm run capacity -->', end: '<!-- end of tables -->'} as const;
 
 const content = settings.bench === '-' ? await readStream(process.stdin) : await readFile(settings.bench, 'utf8');
 const figures = new Map(content.split('\n').filter(line => line.startsWith('{')).map(line => {
@@ -33,7 +33,7 @@
 }));
 
 /** Looks up a figure. Throws if the bench output lacks it, so that no table is computed from a default. */
-const source: FigureSource = name => {
+const findFigure: FigureSource = name => {
 	const figure = figures.get(name);
 	if (!figure) {
 		throw new Error(`the bench output has no figure "${name}"; run the bench with --json and all groups`);
@@ -42,16 +42,16 @@
 	return figure;
 };
 
-const tables = formatCapacity(describeSize(), source);
+const tables = formatCapacity(describeSize(), findFigure);
 if (settings.page === undefined) {
 	process.stdout.write(`${tables}\n`);
 } else {
 	const page = await readFile(settings.page, 'utf8');
-	const begin = page.indexOf(marks.begin);
-	const end = page.indexOf(marks.end);
+	const begin = page.indexOf(markers.begin);
+	const end = page.indexOf(markers.end);
 	if (begin === -1 || end < begin) {
-		throw new Error(`${settings.page}: expected the line "${marks.begin}" and after it "${marks.end}"`);
+		throw new Error(`${settings.page}: expected the line "${markers.begin}" and after it "${markers.end}"`);
 	}
 
-	await writeFile(settings.page, `${page.slice(0, begin)}${marks.begin}\n\n${tables}\n\n${page.slice(end)}`);
+	await writeFile(settings.page, `${page.slice(0, begin)}${markers.begin}\n\n${tables}\n\n${page.slice(end)}`);
 }
--- a/scripts/capacity/size.ts
+++ b/scripts/capacity/size.ts
@@ -12,7 +12,7 @@
 export type FigureSource = (name: string) => {value: number; intercept?: number; sizes?: Array<{n: number; value: number}>};
 
 /** Size that the users require. */
-const given = {
+const requirements = {
 	entries: 1700,
 	endpoints: 10_000,
 	dataCentres: 19,
@@ -53,7 +53,7 @@
 } as const;
 
 /** The design size with the values derived from it. */
-export type Size = typeof given & typeof intervals & typeof assumed & {
+export type Size = typeof requirements & typeof intervals & typeof assumed & {
 	hosts: number;
 	linksOfEntry: number;
 	linksOfAgent: number;
@@ -76,13 +76,13 @@
 export function describeSize(): Size {
 	const {
 		entries, endpoints, dataCentres, requestsPerSecond, tokensPerSecond, changesPerDay,
-	} = given;
+	} = requirements;
 	const linksOfEntry = defaultDegree + (Math.min(maxRemoteDataCentres, dataCentres - 1) * remoteDegree);
 	const linksOfAgent = linksOfEntry * entries / endpoints;
 	const tokensOfRequest = tokensPerSecond / requestsPerSecond;
 	const requestsOfEntry = requestsPerSecond / entries;
 	return {
-		...given,
+		...requirements,
 		...intervals,
 		...assumed,
 		hosts: entries + endpoints,
--- a/scripts/capacity/tables.ts
+++ b/scripts/capacity/tables.ts
@@ -7,7 +7,7 @@
 const budget = {bytesPerSecond: 28_000, coreFraction: 0.022, memoryMb: 64} as const;
 
 /** One kind of control message of a node. */
-type Traffic = {
+type TrafficRow = {
 	what: string;
 	/** Messages per second, sent and received. */
 	perSecond: number;
@@ -17,7 +17,7 @@
 	mechanism: string;
 };
 
-type Held = {what: string; count: number; bytes: number; mechanism: string};
+type StateRow = {what: string; count: number; bytes: number; mechanism: string};
 
 function round(value: number): string {
 	return Math.abs(value) >= 100 ? value.toFixed(0) : String(Number(value.toPrecision(3)));
@@ -33,7 +33,7 @@
 	return figure.sizes?.find(size => size.n === n)?.value ?? ((figure.intercept ?? 0) + (figure.value * n));
 }
 
-function listLinkTraffic(links: number, size: Size, figure: FigureSource): Traffic[] {
+function listLinkTraffic(links: number, size: Size, figure: FigureSource): TrafficRow[] {
 	const heartbeat = {bytes: figure('heartbeat bytes').value, us: figure('heartbeat CPU').value};
 	const report = {bytes: evaluate(figure('load report bytes'), 1), us: evaluate(figure('load report CPU'), 1)};
 	const delta = {bytes: evaluate(figure('configuration delta bytes'), 1), us: evaluate(figure('configuration delta CPU'), 1)};
@@ -53,7 +53,7 @@
 	];
 }
 
-function formatTraffic(name: string, traffic: readonly Traffic[]): string {
+function formatTraffic(name: string, traffic: readonly TrafficRow[]): string {
 	const rows = traffic.map(({what, perSecond, bytes, us, mechanism}) => [
 		what, round(perSecond), round(bytes), round(perSecond * bytes / 1000), round(us), `${round(perSecond * us / 10_000)}%`, mechanism,
 	]);
@@ -64,18 +64,18 @@
 		'',
 		formatTable(['what', 'messages/s', 'bytes', 'KB/s', 'us', 'core', 'carried by'], [
 			...rows,
-			['**all**', '', '', `**${round(bytes / 1000)}**`, '', `**${round(core * 100)}%**`, judge(bytes, core)],
+			['**all**', '', '', `**${round(bytes / 1000)}**`, '', `**${round(core * 100)}%**`, compareToBudget(bytes, core)],
 		]),
 	].join('\n');
 }
 
-function judge(bytesPerSecond: number, core: number): string {
+function compareToBudget(bytesPerSecond: number, core: number): string {
 	const bytes = bytesPerSecond <= budget.bytesPerSecond ? 'bytes within' : `bytes ${round(bytesPerSecond / budget.bytesPerSecond)} times`;
 	const time = core <= budget.coreFraction ? 'core within' : `core ${round(core / budget.coreFraction)} times`;
 	return `${bytes}, ${time} the budget`;
 }
 
-function formatHeld(name: string, held: readonly Held[]): string {
+function formatState(name: string, held: readonly StateRow[]): string {
 	const rows = held.map(({what, count, bytes, mechanism}) => [what, round(count), round(bytes), round(count * bytes / 1e6), mechanism]);
 	const total = held.reduce((sum, {count, bytes}) => sum + (count * bytes), 0) / 1e6;
 	return [`### ${name}: state`, '', formatTable(['what', 'rows', 'bytes', 'MB', 'carried by'], [...rows, ['**all**', '', '', `**${round(total)}**`, '']])].join('\n');
@@ -90,7 +90,7 @@
 				what: 'membership list, whole', perSecond: size.membershipReadsPerSecond, ...members, mechanism: 'read from the platform',
 			},
 		]),
-		formatHeld('Entry', [
+		formatState('Entry', [
 			{
 				what: 'endpoint rows', count: size.linksOfEntry, bytes: figure('heap of an endpoint row').value, mechanism: 'subset of each data centre',
 			},
@@ -110,7 +110,7 @@
 function formatAgent(size: Size, figure: FigureSource): string {
 	return [
 		formatTraffic('Agent', listLinkTraffic(size.linksOfAgent, size, figure)),
-		formatHeld('Agent', [
+		formatState('Agent', [
 			{
 				what: 'profiles', count: size.profiles, bytes: figure('heap of a profile').value, mechanism: 'the configuration in force',
 			},
@@ -119,7 +119,7 @@
 	].join('\n\n');
 }
 
-function formatWork(size: Size, figure: FigureSource): string {
+function formatRequestLoad(size: Size, figure: FigureSource): string {
 	const work = (name: string, role: 'entry' | 'agent', requests: number, tokens: number) => {
 		const call = requests * figure(`${role} CPU of a whole call`).value;
 		const stream = tokens * figure(`${role} CPU of a streamed token`).value;
@@ -172,7 +172,7 @@
 		`An entry has ${size.linksOfEntry} links, an agent ${round(size.linksOfAgent)}.`,
 		formatEntry(size, figure),
 		formatAgent(size, figure),
-		formatWork(size, figure),
+		formatRequestLoad(size, figure),
 		formatStore(size),
 		formatMembership(size, figure),
 	].join('\n\n');
--- a/scripts/mutants.ts
+++ b/scripts/mutants.ts
@@ -27,7 +27,7 @@
 const trueInvariants: Patch = {file: systems('invariants'), find: 'return holds;', replace: 'return true;'};
 
 /** Disables the invariant checks, so that the mutant must be detected by the tests of the mechanism itself. */
-const unguarded = [withoutInvariants, trueInvariants];
+const unchecked = [withoutInvariants, trueInvariants];
 
 const mutants: Mutant[] = [
 	{
@@ -113,7 +113,7 @@
 	},
 	{
 		name: 'a lower configuration is adopted',
-		patches: [...unguarded, {file: systems('configuration-adopter'), find: 'if (accepted.version <= this.#accepted.version) {', replace: 'if (accepted.version === this.#accepted.version) {'}],
+		patches: [...unchecked, {file: systems('configuration-adopter'), find: 'if (accepted.version <= this.#accepted.version) {', replace: 'if (accepted.version === this.#accepted.version) {'}],
 		specs: [systemsSpec('configuration-adopter')],
 	},
 	{
@@ -141,7 +141,7 @@
 	},
 	{
 		name: '"not run" is said while a claim may exist',
-		patches: [...unguarded, {file: systems('claimed-calls'), find: 'submission.mayBeClaimed ? \'unknown\' : \'no\'', replace: '\'no\''}],
+		patches: [...unchecked, {file: systems('claimed-calls'), find: 'submission.mayBeClaimed ? \'unknown\' : \'no\'', replace: '\'no\''}],
 		specs: [systemsSpec('claimed-calls')],
 	},
 	{
@@ -157,7 +157,7 @@
 	{
 		name: 'stale samples are handed over',
 		patches: [
-			...unguarded,
+			...unchecked,
 			{file: systems('steps-freshness'), find: 'return !isStale(', replace: 'return versions.length > 0 || !isStale('},
 		],
 		specs: [systemsSpec('steps')],
@@ -169,7 +169,7 @@
 	},
 	{
 		name: 'the cursor is ignored',
-		patches: [...unguarded, {file: systems('steps-step'), find: '!received.has(position) && state !== \'done\'', replace: 'state !== \'done\''}],
+		patches: [...unchecked, {file: systems('steps-step'), find: '!received.has(position) && state !== \'done\'', replace: 'state !== \'done\''}],
 		specs: [systemsSpec('steps')],
 	},
 	{
@@ -279,7 +279,7 @@
 }
 
 /** Applies a mutant, runs its specs and restores the files. Returns the verdict to print and whether the mutant was caught. */
-function tryMutant(copy: string, {patches, specs}: Mutant): {isCaught: boolean; verdict: string} {
+function checkMutant(copy: string, {patches, specs}: Mutant): {isCaught: boolean; verdict: string} {
 	const originals = patchSources(copy, patches);
 	if (!originals) {
 		return {isCaught: false, verdict: 'DOES NOT FIT THE CODE'};
@@ -313,7 +313,7 @@
 		}
 
 		for (const mutant of mutants) {
-			const {isCaught, verdict} = tryMutant(copy, mutant);
+			const {isCaught, verdict} = checkMutant(copy, mutant);
 			missed += isCaught ? 0 : 1;
 			process.stdout.write(`${verdict}: ${mutant.name}\n`);
 		}
