--- a/xo.config.js
+++ b/xo.config.js
@@ -1,6 +1,6 @@
 /**
- * XO with its defaults; added is the direction of imports between packages:
- * each package may import only from those that stand below it in layers.
+ * XO with its default rules, and a rule for the direction of imports between packages:
+ * a package may import only from packages in the layers below its own.
  */
 const layers = [
 	['embedded', 'proof'],
@@ -18,7 +18,7 @@
 	['shared'],
 ];
 
-/** Decisions need no I/O, so of the packages below they may import only shared. */
+/** Package without I/O. Of the packages below it, it may import only `shared`. */
 const pure = 'decisions';
 
 function listForbidden(layer) {
@@ -55,9 +55,9 @@
 	{
 		files: ['packages/*/__tests__/**/*.ts', 'platform/__tests__/**/*.ts'],
 		rules: {
-			// Chai's assertions are expressions by design.
+			// Chai assertions such as `expect(value).to.be.true` are expressions.
 			'@typescript-eslint/no-unused-expressions': 'off',
-			// Bodies of answers are asserted field by field, and some have the published protocol's names.
+			// Tests assert response bodies field by field; some fields have names of the published protocol.
 			'@typescript-eslint/no-unsafe-type-assertion': 'off',
 			'@typescript-eslint/naming-convention': 'off',
 		},
@@ -65,7 +65,7 @@
 	{
 		files: ['packages/daemon/src/run.ts', 'packages/daemon/src/settings.ts', 'platform/src/main.ts'],
 		rules: {
-			// These two end command-line programs, which is what the rule allows.
+			// These files end command-line programs, the use of `process.exit` that the rule intends to allow.
 			'unicorn/no-process-exit': 'off',
 		},
 	},
@@ -85,7 +85,7 @@
 	{
 		files: ['scripts/reporter.cjs'],
 		rules: {
-			// Mocha loads reporters by require.
+			// Mocha loads reporters with `require`.
 			'unicorn/prefer-module': 'off',
 		},
 	},
