--- a/scripts/ablate.ts
+++ b/scripts/ablate.ts
@@ -1,10 +1,10 @@
 /**
- * Measures what each mechanism of the policy is worth: plays days with it and without it, and prints the paired differences.
+ * Measures the contribution of each mechanism of the policy: runs days with and without it and prints the paired differences.
  *
  * npm run ablate -- --bench PROGRAM --site FILE --days a,b --seeds 1,2,3 --scratch DIR --why TEXT [--only name,...] [--jobs 4]
  *
- * PROGRAM plays one day with `run FILE DAY --seed N --report JSON` in a checkout. Each mechanism is played in a clone of the last commit
- * below DIR, with the policy set in the deploy file. One play says little: what counts is the mean of the differences
+ * PROGRAM runs one day with `run FILE DAY --seed N --report JSON` in a checkout. Each variant runs in its own clone of the last commit
+ * below DIR, with its policy set in the deploy file. Single runs vary too much to compare: judge the mean of the differences
  * against its standard error.
  */
 import {execFile, execFileSync} from 'node:child_process';
@@ -18,18 +18,18 @@
 import {z} from 'zod';
 import type {Policy} from '@wasabiusher/decisions';
 
-/** Longest output of a play, in bytes. */
+/** Maximum output of a run, in bytes. */
 const maxOutputBytes = 2 ** 28;
 
-/** Exit status of wrong usage, by convention. */
+/** Conventional exit status for invalid command-line arguments. */
 const usageStatus = 2;
 
-/** Runs a program in a checkout; rejects if it fails. */
-async function run(program: string, words: string[], cwd: string): Promise<void> {
+/** Runs a program in a checkout. Rejects if it exits with an error. */
+async function run(program: string, args: string[], cwd: string): Promise<void> {
 	return new Promise((resolve, reject) => {
-		execFile(program, words, {cwd, maxBuffer: maxOutputBytes}, error => {
+		execFile(program, args, {cwd, maxBuffer: maxOutputBytes}, error => {
 			if (error) {
-				reject(new Error(`${program} ${words[0]} failed in ${cwd}`, {cause: error}));
+				reject(new Error(`${program} ${args[0]} failed in ${cwd}`, {cause: error}));
 			} else {
 				resolve();
 			}
@@ -37,7 +37,7 @@
 	});
 }
 
-/** Without each mechanism, by its name; `all` is the policy as it is. */
+/** Policy changes that disable one mechanism each, by the mechanism's name. `all` is the unchanged policy. */
 const variants: Readonly<Record<string, Partial<Policy>>> = {
 	all: {},
 	moves: {movesRuns: false},
@@ -83,14 +83,14 @@
 
 const reportSchema = z.object({breaks: z.record(z.string(), z.unknown()).default({}), fault: z.unknown().optional()}).catchall(z.unknown());
 
-/** The field of a report that holds the day's worth. */
-const worthField = 'G';
+/** Field of a report that holds the score of the day. */
+const scoreField = 'G';
 
 type Options = z.infer<typeof optionsSchema>;
 
-type Play = {variant: string; day: string; seed: string};
+type DayRun = {variant: string; day: string; seed: string};
 
-type Outcome = {worth: number; isBroken: boolean};
+type Outcome = {score: number; isBroken: boolean};
 
 function readOptions(): Options | undefined {
 	const {options} = cac('ablate').help().parse();
@@ -98,7 +98,7 @@
 	const unknown = parsed.data?.only.filter(name => !Object.hasOwn(variants, name)) ?? [];
 	if (!parsed.success || unknown.length > 0) {
 		const issue = parsed.error?.issues[0];
-		const problem = issue ? `--${issue.path.join('.')}: ${issue.message}` : `unknown mechanism ${unknown.join(', ')}; known are ${Object.keys(variants).join(', ')}`;
+		const problem = issue ? `--${issue.path.join('.')}: ${issue.message}` : `unknown mechanism ${unknown.join(', ')}; expected one of ${Object.keys(variants).join(', ')}`;
 		process.stderr.write(`ablate: ${problem}\n`);
 		return undefined;
 	}
@@ -106,18 +106,18 @@
 	return parsed.data;
 }
 
-/** Adds a variable to those that a deploy file sets for its one role; the file sets some already. */
+/** Adds an environment variable to the role of a deploy file. The file has one role, which must already set `env`. */
 function setVariable(deploy: string, name: string, value: string): string {
 	const changed = deploy.replace(/^env = \{ /mv, () => `env = { ${name} = ${JSON.stringify(value)}, `);
 	if (changed === deploy) {
-		throw new Error('deploy/system.toml sets no variables: expected a line that begins with "env = { "');
+		throw new Error('deploy/system.toml sets no environment variables: expected a line that begins with "env = { "');
 	}
 
 	return changed;
 }
 
-/** Makes a clone with its own policy, ready to be played. */
-async function prepare(variant: string, scratch: string, bench: string): Promise<string> {
+/** Creates and builds a clone whose deploy file sets the variant's policy. An existing clone is reused. */
+async function prepareClone(variant: string, scratch: string, bench: string): Promise<string> {
 	const directory = path.join(scratch, variant);
 	if (!existsSync(directory)) {
 		execFileSync('git', ['clone', '--quiet', '.', directory]);
@@ -131,12 +131,12 @@
 	return directory;
 }
 
-async function play({variant, day, seed}: Play, directory: string, {bench, site, why}: Options): Promise<Outcome | undefined> {
+async function play({variant, day, seed}: DayRun, directory: string, {bench, site, why}: Options): Promise<Outcome | undefined> {
 	const report = path.join(directory, `${path.basename(site)}-${path.basename(day)}-${seed}.json`);
 	try {
 		await run(bench, ['run', site, day, '--seed', seed, '--jobs', '1', '--report', report, '--why', `${why} (without ${variant})`], directory);
 	} catch {
-		// A day that breaks a rule ends with a status of its own; its report tells, or is missing.
+		// A day on which a rule is broken exits with a non-zero status. The report has the details, or is missing.
 	}
 
 	if (!existsSync(report)) {
@@ -144,14 +144,14 @@
 	}
 
 	const {breaks, fault, ...rest} = reportSchema.parse(JSON.parse(readFileSync(report, 'utf8')));
-	return {worth: Number(rest[worthField]), isBroken: Object.keys(breaks).length > 0 || Boolean(fault)};
+	return {score: Number(rest[scoreField]), isBroken: Object.keys(breaks).length > 0 || Boolean(fault)};
 }
 
 function findMean(values: readonly number[]): number {
 	return values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function findError(values: readonly number[]): number {
+function findStandardError(values: readonly number[]): number {
 	const mean = findMean(values);
 	return Math.sqrt(values.reduce((sum, value) => sum + ((value - mean) ** 2), 0) / (values.length - 1) / values.length);
 }
@@ -167,15 +167,15 @@
 	const names = ['all', ...options.only.filter(name => name !== 'all')];
 	const directories = new Map<string, string>();
 	for (const name of names) {
-		// One build after the other: several at once would write the same files of a cache.
+		// Builds run one after the other because concurrent builds would write the same cache files.
 		// eslint-disable-next-line no-await-in-loop
-		directories.set(name, await prepare(name, scratch, bench));
+		directories.set(name, await prepareClone(name, scratch, bench));
 	}
 
 	const cases = options.days.flatMap(day => options.seeds.map(seed => ({day, seed})));
 	const outcomes = new Map<string, Outcome | undefined>();
 	const queue = new PQueue({concurrency: options.jobs});
-	const toKey = ({variant, day, seed}: Play) => `${variant} ${day} ${seed}`;
+	const toKey = ({variant, day, seed}: DayRun) => `${variant} ${day} ${seed}`;
 	await queue.addAll(cases.flatMap(one => names.map(variant => async () => {
 		const chosen = {variant, ...one};
 		outcomes.set(toKey(chosen), await play(chosen, directories.get(variant)!, options));
@@ -186,11 +186,11 @@
 		const played = cases.flatMap(one => outcomes.get(toKey({variant, ...one})) ?? []);
 		const losses = cases.flatMap(one => {
 			const [before, after] = ['all', variant].map(name => outcomes.get(toKey({variant: name, ...one})));
-			return before && after ? [before.worth - after.worth] : [];
+			return before && after ? [before.score - after.score] : [];
 		});
-		const worth = findMean(played.map(play => play.worth)).toFixed(3);
+		const worth = findMean(played.map(play => play.score)).toFixed(3);
 		const broken = played.filter(({isBroken}) => isBroken).length;
-		print(`${variant.padEnd(24)} ${worth.padStart(7)}  ${findMean(losses).toFixed(3)} +- ${findError(losses).toFixed(3)}  ${losses.length}  ${broken}`);
+		print(`${variant.padEnd(24)} ${worth.padStart(7)}  ${findMean(losses).toFixed(3)} +- ${findStandardError(losses).toFixed(3)}  ${losses.length}  ${broken}`);
 	}
 }
 
--- a/scripts/bench/messages.ts
+++ b/scripts/bench/messages.ts
@@ -1,5 +1,5 @@
 /**
- * Bytes and processor time of the messages between entries and agents, from encoding to the checked message.
+ * Measures the bytes and processor time of messages between entries and agents. The time covers encoding, decoding and validation.
  */
 import {decodeMessage, encodeMessage, type Message} from '@wasabiusher/link';
 import {memberSchema, type Member} from '@wasabiusher/backends';
@@ -10,7 +10,7 @@
 import {createSlope, type Figure, type Measurement} from './figure.js';
 import {measureUs} from './measure.js';
 
-const attempt = {request: '6f1e1c52-41f0-4ef5-9b4e-0c9f0f1c7f21', attempt: 1};
+const attemptKey = {request: '6f1e1c52-41f0-4ef5-9b4e-0c9f0f1c7f21', attempt: 1};
 
 export function createProfile() {
 	return profileSchema.parse({
@@ -18,7 +18,7 @@
 	});
 }
 
-/** A configuration with so many profiles and one pool. */
+/** Creates a configuration with the given number of profiles and one service. */
 export function createConfiguration(profiles: number): Configuration {
 	return configurationSchema.parse({
 		profiles: Object.fromEntries(Array.from({length: profiles}, (_, index) => [`profile-${index}`, createProfile()])),
@@ -68,7 +68,7 @@
 function createOpen(promptBytes: number): Message {
 	return {
 		kind: 'open',
-		...attempt,
+		...attemptKey,
 		work: {kind: 'generate', request: {model: 'trail', prompt: 'x'.repeat(promptBytes), maxTokens: 256}},
 		service: 'models',
 		caller: 'caller-17',
@@ -86,11 +86,11 @@
 
 function createPart(tokens: number): Message {
 	return {
-		kind: 'part', ...attempt, sequence: 7, event: {kind: 'parts', parts: [{text: 'word '.repeat(tokens), tokens, version: 1000}]},
+		kind: 'part', ...attemptKey, sequence: 7, event: {kind: 'parts', parts: [{text: 'word '.repeat(tokens), tokens, version: 1000}]},
 	};
 }
 
-/** Messages by the name of their figure, with what their size counts. */
+/** Messages by the name of their figure, with the unit that their size counts. */
 const messages: Readonly<Record<string, {per: string; sizes: readonly number[]; create(size: number): Message}>> = {
 	'load report': {per: 'model', sizes: [1, 10, 100], create: createStatus},
 	'configuration delta': {per: 'profile', sizes: [1, 10, 100, 1000], create: createDelta},
@@ -107,7 +107,7 @@
 
 const memberCounts = [100, 1000, 10_000] as const;
 
-/** Bytes and processor time of reading the platform's membership list, by its hosts. */
+/** Measures the bytes of the platform's membership list and the processor time of parsing it, per host. */
 function measureMembership(): Figure[] {
 	const measured = memberCounts.map(n => {
 		const members = Array.from({length: n}, (_, index): Member => ({
